--- a/peer/beats.go
+++ b/peer/beats.go
@@ -8,52 +8,54 @@
 	"github.com/embercove/embercove/config"
 )
 
-// A heartbeat takes some 18 B, so telling those of all hosts in each exchange makes
-// an exchange grow with the fleet: with 300 hosts it took 11 KB both ways, a round
-// had to last nine seconds to stay within its budget, and digests, which go the
-// same way, were as old. So of many hosts an exchange tells of those about which
-// there is news, and of some others that are drawn. Each side also names a hash of
-// its members, and who finds another one asks for all heartbeats.
+// A heartbeat takes about 18 B, so sending those of all hosts in every exchange makes exchanges
+// grow with the fleet. With 300 hosts an exchange took 11 KB both ways and a round had to last
+// nine seconds to stay within its budget, so digests, which travel in the same exchanges, were as
+// old. In a large fleet an exchange therefore carries only the heartbeats of recently changed
+// hosts and a random sample of the others. Each side also sends a hash of its members; a host
+// that sees a different hash requests all heartbeats.
 
 const (
-	toldBeats = 32               // in one exchange: up to so many hosts all are told of
-	drawBeats = 8                // of more hosts, those without news
-	newsFor   = 10 * time.Second // how long a change of a host goes first
-	allEvery  = 4 * time.Second  // between two asks for all heartbeats
+	heartbeatsPerExchange = 32               // per exchange: up to this many hosts, all are sent
+	sampledHeartbeats     = 8                // per exchange in larger fleets, of the hosts without recent changes
+	recentChangeWindow    = 10 * time.Second // how long a changed host takes precedence
+	allHeartbeatsInterval = 4 * time.Second  // between two requests for all heartbeats
 )
 
-// beatOf returns what is told of a host's heartbeat.
-func beatOf(h *blackboard.Host) Beat { return Beat{h.Number, h.Incarnation, h.Beat, h.Leaving} }
+// heartbeatOf returns a host's heartbeat as it is sent to other hosts.
+func heartbeatOf(h *blackboard.Host) Heartbeat {
+	return Heartbeat{h.Number, h.Incarnation, h.Beat, h.Leaving}
+}
 
-// beats returns the heartbeats to tell another host of. News has only those about
-// which there is something new.
-func (r *Router) beats(now time.Time, news, all bool) []Beat {
-	var leaving, changed, others []Beat
+// heartbeats returns the heartbeats to send to another host. With changesOnly set, it returns
+// only those of recently changed hosts.
+func (r *Router) heartbeats(now time.Time, changesOnly, all bool) []Heartbeat {
+	var leaving, changed, others []Heartbeat
 	r.board.Hosts.Each(now, func(h *blackboard.Host, live bool) {
 		switch {
 		case !live || h.Incarnation == 0:
-		case now.Sub(h.Noted) >= newsFor:
-			others = append(others, beatOf(h))
+		case now.Sub(h.Noted) >= recentChangeWindow:
+			others = append(others, heartbeatOf(h))
 		case h.Leaving:
-			leaving = append(leaving, beatOf(h))
+			leaving = append(leaving, heartbeatOf(h))
 		default:
-			changed = append(changed, beatOf(h))
+			changed = append(changed, heartbeatOf(h))
 		}
 	})
 	self := r.board.Hosts.Self()
-	out := append(leaving, beatOf(&self))
-	if all || len(out)+len(changed)+len(others) <= toldBeats && !news {
+	out := append(leaving, heartbeatOf(&self))
+	if all || len(out)+len(changed)+len(others) <= heartbeatsPerExchange && !changesOnly {
 		return append(append(out, changed...), others...)
 	}
-	out = append(out, drawn(changed, toldBeats)...)
-	if !news {
-		out = append(out, drawn(others, drawBeats)...)
+	out = append(out, sample(changed, heartbeatsPerExchange)...)
+	if !changesOnly {
+		out = append(out, sample(others, sampledHeartbeats)...)
 	}
 	return out
 }
 
-// drawn returns n of the heartbeats, each with the same chance.
-func drawn(list []Beat, n int) []Beat {
+// sample returns n of the heartbeats, each with equal probability. It reorders the list.
+func sample(list []Heartbeat, n int) []Heartbeat {
 	n = max(0, min(n, len(list)))
 	for i := range n {
 		k := i + rand.IntN(len(list)-i)
@@ -62,47 +64,51 @@
 	return list[:n]
 }
 
-// beatRound returns the time in which a host's heartbeat is told of about once to
-// each other host: the round of exchanges, or several where not all are told of.
-func (r *Router) beatRound() time.Duration {
+// heartbeatRound returns the time in which a host's heartbeat is sent to each other host about
+// once: one round of exchanges, or several where an exchange doesn't carry all heartbeats.
+func (r *Router) heartbeatRound() time.Duration {
 	hosts := r.board.Hosts.Len()
-	if hosts <= toldBeats {
-		return r.every()
+	if hosts <= heartbeatsPerExchange {
+		return r.roundInterval()
 	}
-	return r.every() * time.Duration(hosts) / (tellsEach * drawBeats)
+	return r.roundInterval() * time.Duration(hosts) / (sendsPerRound * sampledHeartbeats)
 }
 
-// tellsEach is how often a host is told during a round: in the answer to the
-// exchange that it starts, and in the one that it answers.
-const tellsEach = 2
+// sendsPerRound is how often a host sends its state per round: once in the exchange that it
+// starts and once in its reply to the exchange that it answers.
+const sendsPerRound = 2
 
-// fewKnown is how many hosts one must know to ask for all heartbeats. One that starts
-// is told of as many as any exchange tells of, meets those, and then asks one of them:
-// else hundreds that start together ask the few by whom they join.
-const fewKnown = 12
+// minKnownForAll is how many hosts one must know before it requests all heartbeats. A host that
+// starts first gets the heartbeats of an ordinary exchange, contacts those hosts, and then
+// requests all from one of them. Otherwise hundreds of hosts that start together would all ask
+// the few seeds.
+const minKnownForAll = 12
 
-// asksAll reports whether a host lacks heartbeats by the members that others
-// named, and hasn't asked for all lately. It counts as asking.
-func (r *Router) asksAll(now time.Time) bool {
-	if r.board.Hosts.Len() < fewKnown {
+// shouldRequestAll reports whether this host lacks heartbeats, judging by the member hashes of
+// other hosts, and hasn't requested all of them within allHeartbeatsInterval. If so, it records
+// the request.
+func (r *Router) shouldRequestAll(now time.Time) bool {
+	if r.board.Hosts.Len() < minKnownForAll {
 		return false
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.differs || now.Sub(r.askedAll) < allEvery {
+	if !r.membersDiffer || now.Sub(r.allRequestedAt) < allHeartbeatsInterval {
 		return false
 	}
-	r.differs, r.askedAll = false, now
+	r.membersDiffer, r.allRequestedAt = false, now
 	return true
 }
 
-// compareMembers notes whether another host's members are not this one's.
+// compareMembers records whether another host's members differ from this one's.
 func (r *Router) compareMembers(members uint64, now time.Time) {
 	differs := members != r.board.Hosts.Members(now)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.differs = r.differs || differs
+	r.membersDiffer = r.membersDiffer || differs
 }
 
-// heartbeat returns the least time of a round.
-func (r *Router) heartbeat() time.Duration { return config.Millis(r.board.Settings.HeartbeatMillis) }
+// heartbeatInterval returns the minimum duration of a round.
+func (r *Router) heartbeatInterval() time.Duration {
+	return config.Millis(r.board.Settings.HeartbeatMillis)
+}
--- a/peer/codec.go
+++ b/peer/codec.go
@@ -9,42 +9,42 @@
 	"github.com/embercove/embercove/meter"
 )
 
-// The codec of net/rpc's own, gob after gob over one connection, with the bytes of each
-// message counted by what it is for. Which call a byte belongs to is known here alone.
+// This is the gob codec of net/rpc, extended to count the bytes of each message by purpose. Only
+// the codec knows which call a byte belongs to.
 
 // wire is one end of a connection between hosts.
 type wire struct {
-	conn  io.ReadWriteCloser
-	dec   *gob.Decoder
-	enc   *gob.Encoder
-	out   *bufio.Writer
-	read  *countingReader
-	wrote *countingWriter
-	spent *meter.Ledger
+	conn    io.ReadWriteCloser
+	dec     *gob.Decoder
+	enc     *gob.Encoder
+	out     *bufio.Writer
+	read    *countingReader
+	written *countingWriter
+	ledger  *meter.Ledger
 }
 
-func newWire(conn io.ReadWriteCloser, spent *meter.Ledger) *wire {
-	w := &wire{conn: conn, out: bufio.NewWriter(conn), spent: spent}
+func newWire(conn io.ReadWriteCloser, ledger *meter.Ledger) *wire {
+	w := &wire{conn: conn, out: bufio.NewWriter(conn), ledger: ledger}
 	w.read = &countingReader{Reader: bufio.NewReader(conn)}
-	w.wrote = &countingWriter{w: w.out}
-	w.dec, w.enc = gob.NewDecoder(w.read), gob.NewEncoder(w.wrote)
+	w.written = &countingWriter{w: w.out}
+	w.dec, w.enc = gob.NewDecoder(w.read), gob.NewEncoder(w.written)
 	return w
 }
 
 // send writes a header and a body as one message and returns its bytes.
 func (w *wire) send(header, body any) (int, error) {
-	w.wrote.n = 0
+	w.written.n = 0
 	if err := w.enc.Encode(header); err != nil {
 		return 0, err
 	}
 	if err := w.enc.Encode(body); err != nil {
 		return 0, err
 	}
-	return w.wrote.n, w.out.Flush()
+	return w.written.n, w.out.Flush()
 }
 
-// body reads the body of a message and returns the bytes of it all.
-func (w *wire) body(into any) (int, error) {
+// readBody reads the body of a message and returns the size of the whole message.
+func (w *wire) readBody(into any) (int, error) {
 	err := w.dec.Decode(into)
 	n := w.read.n
 	w.read.n = 0
@@ -54,8 +54,8 @@
 // Close closes the connection.
 func (w *wire) Close() error { return w.conn.Close() }
 
-// countingReader counts what is taken out of a buffer. It reads single bytes, so gob puts
-// no buffer of its own before it.
+// countingReader counts the bytes read from a buffer. It implements io.ByteReader so that gob
+// adds no buffer of its own.
 type countingReader struct {
 	*bufio.Reader
 	n int
@@ -90,76 +90,76 @@
 	return n, err
 }
 
-// asking is the end of a connection that makes calls.
-type asking struct {
+// clientCodec is the calling end of a connection.
+type clientCodec struct {
 	*wire
-	method string // of the answer that is being read
+	method string // of the response being read
 }
 
-// newClient returns a client whose calls are counted.
-func newClient(conn io.ReadWriteCloser, spent *meter.Ledger) *rpc.Client {
-	return rpc.NewClientWithCodec(&asking{wire: newWire(conn, spent)})
+// newClient returns a client that counts the bytes of its calls.
+func newClient(conn io.ReadWriteCloser, ledger *meter.Ledger) *rpc.Client {
+	return rpc.NewClientWithCodec(&clientCodec{wire: newWire(conn, ledger)})
 }
 
 // WriteRequest implements rpc.ClientCodec.
-func (c *asking) WriteRequest(r *rpc.Request, body any) error {
+func (c *clientCodec) WriteRequest(r *rpc.Request, body any) error {
 	n, err := c.send(r, body)
-	s := c.spent.Of(purposeOf(r.ServiceMethod, body))
+	s := c.ledger.Of(purposeOf(r.ServiceMethod, body))
 	s.Out.Add(uint64(n))
 	s.Made.Add(1)
 	return err
 }
 
 // ReadResponseHeader implements rpc.ClientCodec.
-func (c *asking) ReadResponseHeader(r *rpc.Response) error {
+func (c *clientCodec) ReadResponseHeader(r *rpc.Response) error {
 	err := c.dec.Decode(r)
 	c.method = r.ServiceMethod
 	return err
 }
 
 // ReadResponseBody implements rpc.ClientCodec.
-func (c *asking) ReadResponseBody(body any) error {
-	n, err := c.body(body)
-	c.spent.Of(purposeOf(c.method, body)).In.Add(uint64(n))
+func (c *clientCodec) ReadResponseBody(body any) error {
+	n, err := c.readBody(body)
+	c.ledger.Of(purposeOf(c.method, body)).In.Add(uint64(n))
 	return err
 }
 
-// answering is the end of a connection that answers calls.
-type answering struct {
+// serverCodec is the answering end of a connection.
+type serverCodec struct {
 	*wire
-	method string // of the call that is being read
+	method string // of the request being read
 }
 
-// WriteResponse implements rpc.ServerCodec. What can't be written ends the connection, or
-// the other end would wait for it.
-func (c *answering) WriteResponse(r *rpc.Response, body any) error {
+// WriteResponse implements rpc.ServerCodec. It closes the connection if the response can't be
+// written; otherwise the caller would keep waiting for it.
+func (c *serverCodec) WriteResponse(r *rpc.Response, body any) error {
 	n, err := c.send(r, body)
 	if err != nil {
 		c.Close()
 		return err
 	}
-	s := c.spent.Of(purposeOf(r.ServiceMethod, body))
+	s := c.ledger.Of(purposeOf(r.ServiceMethod, body))
 	s.Out.Add(uint64(n))
 	s.Answered.Add(1)
 	return nil
 }
 
 // ReadRequestHeader implements rpc.ServerCodec.
-func (c *answering) ReadRequestHeader(r *rpc.Request) error {
+func (c *serverCodec) ReadRequestHeader(r *rpc.Request) error {
 	err := c.dec.Decode(r)
 	c.method = r.ServiceMethod
 	return err
 }
 
 // ReadRequestBody implements rpc.ServerCodec.
-func (c *answering) ReadRequestBody(body any) error {
-	n, err := c.body(body)
-	c.spent.Of(purposeOf(c.method, body)).In.Add(uint64(n))
+func (c *serverCodec) ReadRequestBody(body any) error {
+	n, err := c.readBody(body)
+	c.ledger.Of(purposeOf(c.method, body)).In.Add(uint64(n))
 	return err
 }
 
-// purposeOf returns what a message is for: by its method and, of exchanges, by what they
-// tell.
+// purposeOf returns the purpose of a message, from its method and, for exchanges, from their
+// content.
 func purposeOf(method string, body any) meter.Purpose {
 	switch method {
 	case methodExchange:
--- a/peer/conn.go
+++ b/peer/conn.go
@@ -15,36 +15,36 @@
 
 func counted(c net.Conn, t *meter.Traffic) countedConn { return countedConn{meter.Conn{Conn: c, T: t}} }
 
-// notedConn notes when it was last read from.
-type notedConn struct {
+// trackedConn records when it was last read from.
+type trackedConn struct {
 	countedConn
-	read *atomic.Int64
+	lastRead *atomic.Int64
 }
 
 // Read implements net.Conn.
-func (c *notedConn) Read(p []byte) (int, error) {
+func (c *trackedConn) Read(p []byte) (int, error) {
 	n, err := c.countedConn.Read(p)
 	if n > 0 {
-		c.read.Store(time.Now().UnixNano())
+		c.lastRead.Store(time.Now().UnixNano())
 	}
 	return n, err
 }
 
-// net/rpc writes under a lock, so a write that hung would hold up every call on
-// the connection. Each piece of a write has to be taken in time; a large answer may
-// take longer over a narrow link.
+// net/rpc writes under a lock, so a write that hangs blocks every call on the connection. The
+// time limit is per chunk and not per write, because a large answer may take longer over a narrow
+// link.
 const (
-	writeLimit = 2 * time.Second
-	writePiece = 16 << 10 // bytes: 13 ms over 10 Mbit/s
+	chunkWriteTimeout = 2 * time.Second
+	writeChunkBytes   = 16 << 10 // bytes: 13 ms over 10 Mbit/s
 )
 
 // Write implements net.Conn.
 func (c countedConn) Write(p []byte) (int, error) {
 	written := 0
 	for {
-		piece := p[written:min(len(p), written+writePiece)]
-		_ = c.SetWriteDeadline(time.Now().Add(writeLimit))
-		n, err := c.Conn.Write(piece)
+		chunk := p[written:min(len(p), written+writeChunkBytes)]
+		_ = c.SetWriteDeadline(time.Now().Add(chunkWriteTimeout))
+		n, err := c.Conn.Write(chunk)
 		written += n
 		if err != nil || written == len(p) {
 			return written, err
--- a/peer/exchange.go
+++ b/peer/exchange.go
@@ -13,21 +13,22 @@
 	"github.com/embercove/embercove/request"
 )
 
-// forgetAfter is how long an unlisted host is remembered in silence.
+// forgetAfter is how long a host that isn't on the platform's list is remembered after its last
+// sign of life.
 const forgetAfter = 5 * time.Minute
 
-// Exchanger returns the controller that exchanges knowledge with one random
-// peer at each heartbeat, by push and pull.
+// Exchanger returns the controller that, in each round, exchanges state with one randomly chosen
+// peer, in both directions.
 func (r *Router) Exchanger() blackboard.Controller {
-	var next time.Time // no two rounds run at once
-	return blackboard.Every(r.heartbeat(), func(ctx context.Context) {
+	var next time.Time // rounds don't overlap
+	return blackboard.Every(r.heartbeatInterval(), func(ctx context.Context) {
 		now := time.Now()
 		if now.Before(next) {
 			return
 		}
-		next = now.Add(r.every() - r.heartbeat()/2)
+		next = now.Add(r.roundInterval() - r.heartbeatInterval()/2)
 		r.board.Hosts.Tick(now)
-		r.board.Hosts.SetRound(r.beatRound())
+		r.board.Hosts.SetRound(r.heartbeatRound())
 		r.board.Hosts.Forget(now, forgetAfter, r.isListed)
 		r.mu.Lock()
 		r.round++
@@ -45,15 +46,16 @@
 	return r.listed[n]
 }
 
-// exchangeWith makes one exchange and fetches the revision if the other is
-// ahead.
+// exchangeWith makes one full exchange, and starts a fetch if the other host has a newer
+// revision.
 func (r *Router) exchangeWith(ctx context.Context, h blackboard.Host) { r.exchange(ctx, h, false) }
 
-// exchange makes one exchange; one of news alone carries no digests. While this host
-// joins, one at a time is made with each other host, and it returns before a late answer.
-func (r *Router) exchange(ctx context.Context, h blackboard.Host, news bool) {
+// exchange makes one exchange; with changesOnly set, it carries no digests. While this host is
+// joining, only one exchange at a time runs with each other host, and exchange returns before a
+// late answer arrives.
+func (r *Router) exchange(ctx context.Context, h blackboard.Host, changesOnly bool) {
 	if !r.board.Joining(time.Now()) {
-		r.exchangeWithin(ctx, h, news, r.timeout())
+		r.exchangeWithin(ctx, h, changesOnly, r.timeout())
 		return
 	}
 	if !r.joins.begin(h.Peers) {
@@ -63,7 +65,7 @@
 	go func() {
 		defer close(ended)
 		defer r.joins.end(h.Peers)
-		r.exchangeWithin(ctx, h, news, joinPatience)
+		r.exchangeWithin(ctx, h, changesOnly, joinTimeout)
 	}()
 	select {
 	case <-ended:
@@ -71,54 +73,53 @@
 	}
 }
 
-// exchangeWithin makes one exchange whose answer has to come in time.
-func (r *Router) exchangeWithin(ctx context.Context, h blackboard.Host, news bool, patience time.Duration) {
+// exchangeWithin makes one exchange with the given time limit.
+func (r *Router) exchangeWithin(ctx context.Context, h blackboard.Host, changesOnly bool, timeout time.Duration) {
 	r.mu.Lock()
-	r.told++
-	heads := r.told%headsEvery == 0
-	if !news {
-		r.digestsAt = time.Now()
+	r.exchanges++
+	heads := r.exchanges%headsInterval == 0
+	if !changesOnly {
+		r.digestsSentAt = time.Now()
 	}
 	r.mu.Unlock()
-	all := !news && r.asksAll(time.Now())
-	args := r.tell(telling{to: Name{Domain: h.Domain, Region: h.Region}, heads: heads, news: news})
+	all := !changesOnly && r.shouldRequestAll(time.Now())
+	args := r.buildExchange(sendOptions{to: HostIdentity{Domain: h.Domain, Region: h.Region}, heads: heads, changesOnly: changesOnly})
 	args.All = all
-	args.Want = r.wanted()
+	args.Want = r.wantedNames()
 	reply := new(ExchangeReply)
 	began := time.Now()
-	err := r.pool.call(ctx, h.Peers, methodExchange, &args, reply, patience)
+	err := r.pool.call(ctx, h.Peers, methodExchange, &args, reply, timeout)
 	if errors.Is(err, ErrOutOfReach) {
-		// The connection may have gone silent, as all others may. Its answer may
-		// still come, so another takes the one of the new connection.
+		// The open connection may have gone silent. Its answer may still arrive, so the new
+		// connection gets a reply value of its own.
 		reply, began = new(ExchangeReply), time.Now()
-		err = r.pool.callAnew(ctx, h.Peers, methodExchange, &args, reply, patience)
+		err = r.pool.callOnNewConn(ctx, h.Peers, methodExchange, &args, reply, timeout)
 	}
 	if err != nil {
 		return
 	}
-	if !news && !all {
+	if !changesOnly && !all {
 		r.mu.Lock()
-		r.size = len(args.Digests) + len(reply.Digests) + beatBytes*(len(args.Beats)+len(reply.Beats))
+		r.exchangeBytes = len(args.Digests) + len(reply.Digests) + heartbeatBytes*(len(args.Beats)+len(reply.Beats))
 		r.mu.Unlock()
 	}
 	now := time.Now()
-	r.noteTrip(h, now.Sub(began))
-	r.takeIn(*reply, now)
+	r.noteRoundTrip(h, now.Sub(began))
+	r.merge(*reply, now)
 	r.compareMembers(reply.Members, now)
 	r.compareMarks(ctx, h, reply.Marks, now)
-	if !news {
-		r.askNames(ctx, h)
+	if !changesOnly {
+		r.requestNames(ctx, h)
 	}
 }
 
-// askNames asks for the names of hosts that are known by number only, at once. The host
-// that told of them is asked first, then others, so that those by whom all join don't
-// have to introduce each to each: of 150 hosts that started together, the two seeds had
-// sent 5 MB after two seconds over links of 10 Mbit/s, and after six seconds three hosts
-// knew all others.
-func (r *Router) askNames(ctx context.Context, h blackboard.Host) {
-	for round := range uint64(mostNameAsks) {
-		if len(r.wanted()) == 0 {
+// requestNames requests the names of hosts that are known only by number, at once. It asks the
+// host that sent the numbers first and then others, so that the seeds don't have to introduce
+// every host to every other: when 150 hosts started together, the two seeds had sent 5 MB after
+// two seconds over links of 10 Mbit/s, and after six seconds only three hosts knew all others.
+func (r *Router) requestNames(ctx context.Context, h blackboard.Host) {
+	for round := range uint64(maxNameRequests) {
+		if len(r.wantedNames()) == 0 {
 			return
 		}
 		r.exchange(ctx, h, true)
@@ -128,120 +129,123 @@
 	}
 }
 
-// mostNameAsks is how many hosts are asked for names one after the other.
-const mostNameAsks = 6
+// maxNameRequests is how many hosts are asked for names, one after the other.
+const maxNameRequests = 6
 
-// beatBytes is about what a heartbeat takes on the wire.
-const beatBytes = 18
+// heartbeatBytes is the approximate size of a heartbeat on the wire.
+const heartbeatBytes = 18
 
-// exchangeBudget is what exchanges may cost a host, in bytes a second. A host starts
-// one exchange in each round and answers one on average. Where the region is large,
-// rounds become longer instead of dearer, and digests older. It leaves room for all other
-// traffic with peers in the 15 KB a second that control may take.
+// exchangeBudget limits the cost of exchanges to a host, in bytes per second. A host starts one
+// exchange per round and answers one on average. In large regions rounds become longer, and
+// digests older, instead of costs growing. The budget leaves capacity for all other peer traffic
+// within the 15 KB per second that control may use.
 const exchangeBudget = 4000
 
-// every returns the time of a round.
-func (r *Router) every() time.Duration {
+// roundInterval returns the duration of a round.
+func (r *Router) roundInterval() time.Duration {
 	r.mu.Lock()
-	size := r.size
+	size := r.exchangeBytes
 	r.mu.Unlock()
-	return max(r.heartbeat(), time.Duration(2*size)*time.Second/exchangeBudget)
+	return max(r.heartbeatInterval(), time.Duration(2*size)*time.Second/exchangeBudget)
 }
 
-// largeExchange is the size of an exchange, in bytes, from which news, which is
-// told often, goes without the digests: that of a region of some 200 endpoints.
-// In smaller ones news keeps digests fresh as well.
+// largeExchange is the exchange size, in bytes, above which change notices, which are frequent,
+// omit digests. A region of about 200 endpoints reaches it. In smaller regions change notices
+// help to keep digests fresh.
 const largeExchange = 5000
 
-// large reports whether news has to go without the digests. Where there are more endpoints
-// than an exchange tells of, its size no longer grows with them.
-func (r *Router) large() bool {
+// omitDigests reports whether change notices have to omit digests. With more than maxDigests
+// endpoints the size of an exchange no longer grows, so the number of endpoints is checked as
+// well.
+func (r *Router) omitDigests() bool {
 	v := r.board.Config.View()
-	return v != nil && v.Endpoints.Len() > mostDigests || r.overLarge()
+	return v != nil && v.Endpoints.Len() > maxDigests || r.exchangesTooLarge()
 }
 
-// overLarge reports whether exchanges have become larger than news may be.
-func (r *Router) overLarge() bool {
+// exchangesTooLarge reports whether exchanges have grown too large for change notices to carry
+// digests.
+func (r *Router) exchangesTooLarge() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.size > largeExchange
+	return r.exchangeBytes > largeExchange
 }
 
-// mostWanted is how many names are asked for in one exchange: some 5 KB.
-const mostWanted = 64
+// maxWantedNames is how many names are requested per exchange; their answer takes about 5 KB.
+const maxWantedNames = 64
 
-// wanted returns hosts whose names are lacking, any of them if there are many.
-func (r *Router) wanted() []uint32 {
+// wantedNames returns hosts whose names are missing; if there are too many, an arbitrary subset.
+func (r *Router) wantedNames() []uint32 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []uint32
-	for n := range r.unknown {
-		if out = append(out, n); len(out) == mostWanted {
+	for n := range r.unnamed {
+		if out = append(out, n); len(out) == maxWantedNames {
 			break
 		}
 	}
 	return out
 }
 
-// takeIn learns what another host told. It returns which digests that one has.
-func (r *Router) takeIn(e ExchangeReply, now time.Time) ages {
+// merge merges the state received from another host. It returns the ages of the digests that the
+// host has.
+func (r *Router) merge(e ExchangeReply, now time.Time) digestAges {
 	r.introduce(e.From, now)
 	r.owner.SawFence(e.Fence)
 	for _, n := range e.Names {
 		r.introduce(n, now)
 	}
-	changed, news := false, false
+	changed, announce := false, false
 	for _, b := range e.Beats {
 		cur, _, known := r.board.Hosts.Get(b.Number, now)
 		if !known {
 			r.mu.Lock()
-			r.unknown[b.Number] = true
+			r.unnamed[b.Number] = true
 			r.mu.Unlock()
 			continue
 		}
-		news = news || b.Incarnation > cur.Incarnation || b.Leaving && !cur.Leaving && b.Incarnation == cur.Incarnation
+		announce = announce || b.Incarnation > cur.Incarnation || b.Leaving && !cur.Leaving && b.Incarnation == cur.Incarnation
 		cur.Incarnation, cur.Beat, cur.Leaving, cur.Doubted = b.Incarnation, b.Beat, b.Leaving, false
 		changed = r.board.Hosts.Learn(cur, now) || changed
 	}
 	for _, b := range e.Gone {
-		news = r.board.Hosts.Accuse(b.Number, b.Incarnation, b.Beat, now) || news
+		announce = r.board.Hosts.Accuse(b.Number, b.Incarnation, b.Beat, now) || announce
 	}
-	if news {
+	if announce {
 		changed = true
-		r.tellAround()
+		r.announceChanges()
 	}
 	ds, err := unpack(e.Digests)
 	if err != nil {
-		r.log.Warn("exchange", zap.String("from", e.From.Name), zap.Error(err))
+		r.log.Warn("exchange has damaged digests", zap.String("from", e.From.Name), zap.Error(err))
 	}
 	if err := r.learnSummaries(e.Regions, now); err != nil {
-		r.log.Warn("exchange", zap.String("from", e.From.Name), zap.Error(err))
+		r.log.Warn("exchange has damaged region summaries", zap.String("from", e.From.Name), zap.Error(err))
 	}
-	has := make(ages, len(ds))
+	peerAges := make(digestAges, len(ds))
 	for _, d := range ds {
 		r.board.Endpoints.Learn(d, now)
-		has[d.Number] = d.AgeMillis
+		peerAges[d.Number] = d.AgeMillis
 	}
-	r.learnStanding(ahead{from: e.From, revision: e.Revision, roster: e.Roster}, e.Heard, now)
+	r.applyStanding(aheadPeer{from: e.From, revision: e.Revision, roster: e.Roster}, e.Heard, now)
 	if changed {
 		r.board.Wake.All()
 	}
-	return has
+	return peerAges
 }
 
-// introduce makes a host known by name. It proves no life.
-func (r *Router) introduce(n Name, now time.Time) {
+// introduce records a host's identity. It isn't a sign of life.
+func (r *Router) introduce(n HostIdentity, now time.Time) {
 	if n.Name == "" {
 		return
 	}
 	num := request.HostNumber(n.Name)
 	r.mu.Lock()
-	delete(r.unknown, num)
+	delete(r.unnamed, num)
 	r.mu.Unlock()
 	r.board.Hosts.Learn(blackboard.Host{Name: n.Name, Number: num, Domain: n.Domain, Region: n.Region, Peers: n.Peers}, now)
 }
 
-// Listed takes in the platform's list of hosts.
+// Listed merges the platform's list of hosts.
 func (r *Router) Listed(l *publish.HostList) {
 	now := time.Now()
 	listed := map[uint32]bool{}
@@ -259,32 +263,31 @@
 	r.board.Wake.All()
 }
 
-// announceAll is the size of a fleet up to which a leaving host tells every
-// host of the region; in a larger one it tells its own domain, and the news
-// goes around.
-const announceAll = 32
+// announceAllLimit is the fleet size up to which a leaving host informs every host of the region
+// directly. In a larger fleet it informs its own domain, and exchanges spread the change further.
+const announceAllLimit = 32
 
-// Announce tells the live hosts about this host's state at once; a leaving
-// host does so before it waits for its requests to end.
+// Announce sends this host's state to the live hosts at once. A leaving host calls it before it
+// waits for its requests to end.
 func (r *Router) Announce(ctx context.Context) {
 	now := time.Now()
 	self := r.board.Hosts.Self()
-	small := r.board.Hosts.Len() <= announceAll
-	var told []blackboard.Host
+	small := r.board.Hosts.Len() <= announceAllLimit
+	var targets []blackboard.Host
 	r.board.Hosts.Each(now, func(h *blackboard.Host, live bool) {
 		near := h.Domain == self.Domain || small && h.Region == self.Region
 		if h.Number != self.Number && near && live && h.Peers != "" {
-			told = append(told, *h)
+			targets = append(targets, *h)
 		}
 	})
 	var wg sync.WaitGroup
-	for _, h := range told {
+	for _, h := range targets {
 		wg.Go(func() { r.exchangeWith(ctx, h) })
 	}
 	wg.Wait()
 }
 
-// Once makes one exchange with the host at an address, for measurements.
+// Once makes one exchange with the host at an address. It is used for measurements.
 func (r *Router) Once(ctx context.Context, addr string) {
 	r.exchangeWith(ctx, blackboard.Host{Peers: addr, Region: r.board.Settings.Region})
 }
--- a/peer/exchange_test.go
+++ b/peer/exchange_test.go
@@ -12,8 +12,8 @@
 const exchangeDocument = `{"failure_domains": [{"name": "d", "region": "r"}], "targets": {"ttft_ms": 900, "tpot_ms": 10},
 "pools": [{"name": "p", "slots": 4}], "routes": [{"name": "r", "host": "h", "path_prefix": "/", "pools": [{"pool": "p", "weight": 1}]}]}`
 
-// TestNews checks that news carries the revisions that it is about, and no
-// digests, however many endpoints there are.
+// TestNews checks that a change notice carries the revisions it announces and no digests, however
+// many endpoints there are.
 func TestNews(t *testing.T) {
 	r := testRouter("a", "127.0.0.1:1", 0, nil)
 	b := r.board
@@ -32,13 +32,13 @@
 	for _, e := range roster.Endpoints {
 		b.Endpoints.Learn(route.Digest{Number: config.NameNumber(e.Name), FreeSlots: 4}, now)
 	}
-	for _, news := range []bool{false, true} {
-		a := r.tell(telling{to: Name{Region: "r"}, news: news})
+	for _, changesOnly := range []bool{false, true} {
+		a := r.buildExchange(sendOptions{to: HostIdentity{Region: "r"}, changesOnly: changesOnly})
 		if a.Revision != 7 || a.Roster != 9 {
-			t.Errorf("news %v: revision %d, roster %d", news, a.Revision, a.Roster)
+			t.Errorf("changes only %v: revision %d, roster %d", changesOnly, a.Revision, a.Roster)
 		}
-		if digests := len(a.Digests) > 0; digests == news {
-			t.Errorf("news %v: %d bytes of digests", news, len(a.Digests))
+		if digests := len(a.Digests) > 0; digests == changesOnly {
+			t.Errorf("changes only %v: %d bytes of digests", changesOnly, len(a.Digests))
 		}
 	}
 }
--- a/peer/fetch.go
+++ b/peer/fetch.go
@@ -12,98 +12,98 @@
 	"github.com/embercove/embercove/internal/wait"
 )
 
-// Exchanges only tell of revisions; who lacks one fetches it. A document may be
-// large and a link narrow, and many hosts tell of the same one. So a host makes
-// one fetch at a time, over a connection of its own that keeps no other call
-// waiting, and gives it up for silence, not for the time that it takes: a fetch
-// that is begun anew has to send everything again.
-
-// ahead is a host that told of something newer.
-type ahead struct {
-	from     Name
+// Exchanges carry only revision numbers; a host that is behind fetches the content. A document
+// may be large, a link narrow, and many hosts may report the same revision. So a host makes one
+// fetch at a time, over a separate connection that delays no other calls. A fetch times out on
+// silence and not on its total duration, since a restarted fetch has to transfer everything
+// again.
+
+// aheadPeer is a host that reported a newer revision than this one's.
+type aheadPeer struct {
+	from     HostIdentity
 	revision uint64
 	roster   config.Position
 }
 
-// mostAhead is how many hosts that told of something newer are remembered during a fetch.
-// Where a fetch fails, the next one is asked at once instead of whoever tells again: one of
-// 58 real processes had six fetches fail in a row, for 1.8 s, after its connections had gone
-// silent.
-const mostAhead = 4
+// maxAheadPeers is how many hosts that reported something newer are remembered during a fetch. If
+// the fetch fails, the next of them is asked at once instead of waiting for another report: in a
+// test with 58 processes, one of them had six fetches in a row fail, for 1.8 s, after its
+// connections had gone silent.
+const maxAheadPeers = 4
 
-// fetcher makes sure that one fetch runs at a time. The zero value works.
+// fetcher ensures that only one fetch runs at a time. The zero value is ready to use.
 type fetcher struct {
-	mu   sync.Mutex
-	busy bool
-	next []ahead // who told of more during the fetch, the last one last
+	mu      sync.Mutex
+	running bool
+	pending []aheadPeer // hosts that reported something newer during the fetch, latest last
 }
 
-// begin reports whether the caller has to fetch. Otherwise a fetch is running,
-// and who told is asked after it if that is still of use.
-func (f *fetcher) begin(a ahead) bool {
+// begin reports whether the caller has to fetch. Otherwise a fetch is running, and the host is
+// remembered for the time after it.
+func (f *fetcher) begin(a aheadPeer) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !f.busy {
-		f.busy = true
+	if !f.running {
+		f.running = true
 		return true
 	}
-	f.next = slices.DeleteFunc(f.next, func(n ahead) bool { return n.from.Peers == a.from.Peers })
-	if len(f.next) == mostAhead {
-		f.next = slices.Delete(f.next, 0, 1)
+	f.pending = slices.DeleteFunc(f.pending, func(n aheadPeer) bool { return n.from.Peers == a.from.Peers })
+	if len(f.pending) == maxAheadPeers {
+		f.pending = slices.Delete(f.pending, 0, 1)
 	}
-	f.next = append(f.next, a)
+	f.pending = append(f.pending, a)
 	return false
 }
 
-// end returns who is to be asked next, if anybody: of those remembered, who told of the most.
-func (f *fetcher) end() (ahead, bool) {
+// end returns the next host to fetch from, if any: of those remembered, the one with the newest
+// revisions.
+func (f *fetcher) end() (aheadPeer, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(f.next) == 0 {
-		f.busy = false
-		return ahead{}, false
-	}
-	most := 0
-	for i, n := range f.next {
-		if m := f.next[most]; n.revision >= m.revision && n.roster >= m.roster {
-			most = i
+	if len(f.pending) == 0 {
+		f.running = false
+		return aheadPeer{}, false
+	}
+	best := 0
+	for i, n := range f.pending {
+		if m := f.pending[best]; n.revision >= m.revision && n.roster >= m.roster {
+			best = i
 		}
 	}
-	a := f.next[most]
-	f.next = slices.Delete(f.next, most, most+1)
+	a := f.pending[best]
+	f.pending = slices.Delete(f.pending, best, best+1)
 	return a, true
 }
 
-// lacks reports whether this host lacks what another has.
-func (r *Router) lacks(a ahead) bool {
+// isBehind reports whether another host has a newer revision or roster than this one.
+func (r *Router) isBehind(a aheadPeer) bool {
 	return a.revision > r.board.Config.Revision() || a.roster > r.board.Config.RosterRevision()
 }
 
-// catchUp fetches from a host that is ahead, unless a fetch is running.
-func (r *Router) catchUp(a ahead) {
-	if !r.lacks(a) || !r.fetcher.begin(a) {
+// catchUp fetches from a host that is ahead. If a fetch is running, the host is asked after it.
+func (r *Router) catchUp(a aheadPeer) {
+	if !r.isBehind(a) || !r.fetcher.begin(a) {
 		return
 	}
 	go func() {
 		for more := true; more; a, more = r.fetcher.end() {
-			if r.lacks(a) {
+			if r.isBehind(a) {
 				r.fetch(a)
 			}
 		}
 	}()
 }
 
-// Bounds of a fetch.
+// Limits of a fetch.
 const (
-	fetchSilence = 2               // calls' time-outs without a byte: a lost packet is sent again after some 200 ms
-	fetchMost    = 5 * time.Second // in all: a megabyte takes 0.8 s over 10 Mbit/s
+	fetchSilentTimeouts = 2               // call timeouts without a byte: a lost packet is resent after about 200 ms
+	maxFetchTime        = 5 * time.Second // in total: a megabyte takes 0.8 s over 10 Mbit/s
 )
 
-// fetch gets what is newer from a peer and judges it like what comes from the
-// platform.
-func (r *Router) fetch(a ahead) {
+// fetch gets the newer content from a peer and validates it like content from the platform.
+func (r *Router) fetch(a aheadPeer) {
 	from := a.from
-	reply, err := r.askAgain(a)
+	reply, err := r.fetchWithRetry(a)
 	if err != nil {
 		return
 	}
@@ -112,8 +112,8 @@
 		r.Fetches.Documents.Add(1)
 		src, err := unpackDocument(&reply.Document, r.board.Config)
 		if err != nil {
-			// The roster isn't taken either: whoever has it is taken to know
-			// each document that was published before it.
+			// Skip the roster as well: a host that has a roster is assumed to have every document
+			// published before it.
 			r.log.Warn("fetched document is broken", zap.String("from", from.Name), zap.Uint64("revision", reply.Document.Revision), zap.Error(err))
 			return
 		}
@@ -124,8 +124,8 @@
 	}
 }
 
-// rosterOf returns the roster that a peer told of, nil if there is none to take over.
-func (r *Router) rosterOf(reply *FetchReply, from Name) *config.Roster {
+// rosterOf returns the roster of a reply, or nil if there is none to apply.
+func (r *Router) rosterOf(reply *FetchReply, from HostIdentity) *config.Roster {
 	if reply.Change != nil {
 		return r.board.Config.After(reply.Change)
 	}
@@ -140,31 +140,32 @@
 	return ro.Roster()
 }
 
-// askAgain makes the call of a fetch, once more over a new connection where the one that
-// was kept says nothing: open connections may go silent for good while new ones work.
-func (r *Router) askAgain(a ahead) (*FetchReply, error) {
+// fetchWithRetry makes the call of a fetch. If a connection that was already open stays silent,
+// it retries over a new one: open connections may go silent for good while new ones work.
+func (r *Router) fetchWithRetry(a aheadPeer) (*FetchReply, error) {
 	for {
-		open, kept := r.bulk.openFor(a.from.Peers)
-		reply, err := r.askFor(a.from)
+		open, reused := r.bulk.openFor(a.from.Peers)
+		reply, err := r.callFetch(a.from)
 		if err == nil {
 			return reply, nil
 		}
 		r.Fetches.Failed.Add(1)
 		r.log.Warn("fetch failed", zap.String("from", a.from.Name), zap.Uint64("revision", a.revision), zap.Stringer("roster", a.roster),
 			zap.Duration("behind", r.board.Config.Behind(time.Now())), zap.Duration("connection_open", open), zap.Error(err))
-		if !kept || !silent(err) || !r.lacks(a) {
+		if !reused || !isTimeout(err) || !r.isBehind(a) {
 			return nil, err
 		}
 	}
 }
 
-// askFor makes the call of a fetch. A connection that it got no answer on is given up: kept,
-// each later fetch from that host would fail on it, and changes come into force seconds later.
-func (r *Router) askFor(from Name) (*FetchReply, error) {
+// callFetch makes the call of a fetch. It closes a connection that gave no answer: if it were
+// kept, every later fetch from that host would fail too, and changes would take effect seconds
+// late.
+func (r *Router) callFetch(from HostIdentity) (*FetchReply, error) {
 	ctx, cancel := context.WithCancelCause(context.Background())
 	defer cancel(nil)
 	go func() {
-		silence := fetchSilence * r.timeout()
+		silence := fetchSilentTimeouts * r.timeout()
 		for wait.For(ctx, silence) {
 			if !r.bulk.readWithin(from.Peers, silence) {
 				cancel(ErrOutOfReach)
@@ -174,18 +175,18 @@
 	held := r.board.Config.Newest()
 	args := FetchArgs{After: held.Revision, Sum: held.Sum, Roster: r.board.Config.RosterRevision()}
 	reply := new(FetchReply)
-	err := r.bulk.call(ctx, from.Peers, methodFetch, &args, reply, fetchMost)
+	err := r.bulk.call(ctx, from.Peers, methodFetch, &args, reply, maxFetchTime)
 	if err != nil && context.Cause(ctx) != nil {
 		err = context.Cause(ctx)
 	}
-	if silent(err) {
-		r.bulk.giveUp(from.Peers)
+	if isTimeout(err) {
+		r.bulk.closeConn(from.Peers)
 	}
 	return reply, err
 }
 
-// answerFetch returns what a host lacks. The roster is read first: who takes it
-// over must get every document that was published before it.
+// answerFetch returns what a host lacks. The roster is read before the document: a host that
+// applies the roster must also get every document that was published before it.
 func (r *Router) answerFetch(a *FetchArgs) (reply FetchReply, err error) {
 	whole, change := r.board.Config.RosterSince(a.Roster, time.Now())
 	if reply.Change = change; whole != nil {
@@ -199,7 +200,7 @@
 	}
 	base := r.board.Config.Source(a.After)
 	if base != nil && base.Sum != a.Sum {
-		base = nil // published with two contents: the asker can't unpack against this one
+		base = nil // the same revision was published with different content, so the receiver can't use this base
 	}
 	reply.Document, err = r.packer.pack(newest, base)
 	return reply, err
--- a/peer/helpers_test.go
+++ b/peer/helpers_test.go
@@ -19,7 +19,8 @@
 const newsDocument = `{"failure_domains": [{"name": "d", "region": "r"}], "targets": {"ttft_ms": 900, "tpot_ms": 10},
 "pools": [{"name": "p", "slots": 4}], "routes": [{"name": "r", "host": "h", "path_prefix": "/", "pools": [{"pool": "p", "weight": 1}]}]}`
 
-// testRouter returns the router of a host of failure domain d. A nil dial reaches nobody.
+// testRouter returns the router of a host in failure domain d. With a nil dial it can't reach any
+// host.
 func testRouter(name, peers string, bound time.Duration, dial Dial) *Router {
 	s := &config.Settings{Host: name, Domain: "d", Region: "r", Peers: peers, ChangeMillis: float64(bound.Milliseconds())}
 	s.SetDefaults()
@@ -30,7 +31,7 @@
 	return NewRouter(b, owner.New(b, endpoint.NewClient(nil), zap.NewNop()), dial, zap.NewNop())
 }
 
-// informedRouter returns a router of a host that has revision 1 and roster 1.
+// informedRouter returns the router of a host that has revision 1 and roster 1.
 func informedRouter(t *testing.T, bound time.Duration) *Router {
 	t.Helper()
 	r := testRouter("h", "", bound, nil)
--- a/peer/kept.go
+++ b/peer/kept.go
@@ -12,14 +12,14 @@
 	"github.com/embercove/embercove/route"
 )
 
-// mostKeptAsks is how many hosts are asked which endpoint keeps a prompt: more
-// would cost more than the prompt does.
-const mostKeptAsks = 64
+// maxKeptCalls is how many hosts are asked which endpoint has a prompt cached. Asking more would
+// cost more than the prefill of the prompt.
+const maxKeptCalls = 64
 
-// Kept asks the owners of decode endpoints which of them keeps a prompt, and
-// returns the one that keeps most of it, and at least need tokens; nil: none
-// does, as far as is known. The own failure domain is asked first: callers come back to the one that they came
-// from, and its hosts mostly use its own endpoints.
+// Kept asks the owners of decode endpoints which of them has a prompt cached. It returns the
+// endpoint that has the most tokens of it, at least need, or nil if none is known. The own
+// failure domain is asked first: clients return to the domain that served them before, and its
+// hosts mostly use its own endpoints.
 func (r *Router) Kept(ctx context.Context, specs []*config.Endpoint, head uint32, need int) (best *config.Endpoint, tokens int) {
 	var near, far []*config.Endpoint
 	for _, spec := range specs {
@@ -29,50 +29,50 @@
 			far = append(far, spec)
 		}
 	}
-	for _, some := range [][]*config.Endpoint{near, far} {
-		if best, tokens = r.keptOf(ctx, some, head); best != nil && tokens >= need {
+	for _, group := range [][]*config.Endpoint{near, far} {
+		if best, tokens = r.queryKept(ctx, group, head); best != nil && tokens >= need {
 			return best, tokens
 		}
 	}
 	return nil, 0
 }
 
-// keptAsk is what one owner is asked.
-type keptAsk struct {
+// keptCall is the question for one owner.
+type keptCall struct {
 	host  blackboard.Host
 	self  bool
 	specs []*config.Endpoint
 	args  owner.KeptArgs
 }
 
-// keptOf asks the owners of some endpoints at once.
-func (r *Router) keptOf(ctx context.Context, specs []*config.Endpoint, head uint32) (best *config.Endpoint, tokens int) {
-	asks := map[uint32]*keptAsk{}
+// queryKept asks the owners of the endpoints concurrently.
+func (r *Router) queryKept(ctx context.Context, specs []*config.Endpoint, head uint32) (best *config.Endpoint, tokens int) {
+	calls := map[uint32]*keptCall{}
 	for _, spec := range specs {
 		h, self, err := r.ownerOf(spec)
 		if err != nil {
 			continue
 		}
-		a := asks[h.Number]
+		a := calls[h.Number]
 		if a == nil {
-			if len(asks) == mostKeptAsks {
+			if len(calls) == maxKeptCalls {
 				continue
 			}
-			a = &keptAsk{host: h, self: self, args: owner.KeptArgs{Head: head}}
-			asks[h.Number] = a
+			a = &keptCall{host: h, self: self, args: owner.KeptArgs{Head: head}}
+			calls[h.Number] = a
 		}
 		a.specs = append(a.specs, spec)
 		a.args.Endpoints = append(a.args.Endpoints, route.Number(spec.Name))
 	}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	for _, a := range asks {
+	for _, a := range calls {
 		wg.Go(func() {
 			var reply owner.KeptReply
 			if a.self {
 				reply = r.owner.Kept(ctx, a.args)
 			} else if err := r.pool.call(ctx, a.host.Peers, methodKept, &a.args, &reply, r.timeout()); err != nil {
-				r.log.Debug("not told what is kept", zap.String("host", a.host.Name), zap.Error(err))
+				r.log.Debug("query for cached prompts failed", zap.String("host", a.host.Name), zap.Error(err))
 				return
 			}
 			mu.Lock()
--- a/peer/keys.go
+++ b/peer/keys.go
@@ -9,13 +9,12 @@
 	"github.com/embercove/embercove/request"
 )
 
-// Idempotency keys. A key has a home domain, by a hash over the configured
-// domains of the region (or the own domain, by policy.key_scope). There the
-// first live host in rendezvous order holds it and the second has a copy, so
-// that the loss of one host loses no key. What neither has seen they can
-// vouch for only since their tenure began; a key that the caller first sent
-// before that is answered as unknown. A home that is out of reach means a
-// refusal as not run: under a cut a key is never taken twice.
+// Idempotency keys. Each key has a home domain, chosen by a hash over the configured domains of
+// the region (or always the own domain, depending on policy.key_scope). There the first live host
+// in rendezvous order holds the key and the second has a copy, so that losing one host loses no
+// key. The holders know only the keys that were used since their tenure began; a key that the
+// client first sent before that is answered as unknown. If the home is unreachable, the request
+// is refused as not executed, so that a network partition can't lead to a key being taken twice.
 
 // homeDomain returns the domain that holds a key.
 func (r *Router) homeDomain(key uint64) string {
@@ -36,8 +35,8 @@
 	return own[key%uint64(len(own))]
 }
 
-// KeyBegin takes a key for a request, or says what became of it. An error
-// means that its home is out of reach.
+// KeyBegin takes a key for a request, or returns the state of the request that has it. An error
+// means that the key's home is unreachable.
 func (r *Router) KeyBegin(ctx context.Context, a KeyArgs) (KeyReply, error) {
 	order := r.board.Hosts.Order(a.Record.Key, r.homeDomain(a.Record.Key), time.Now())
 	for i, h := range order {
@@ -59,7 +58,7 @@
 	return KeyReply{}, ErrOutOfReach
 }
 
-// keyHolders is how many hosts remember a key.
+// keyHolders is how many hosts store each key.
 const keyHolders = 2
 
 // keyBegin answers as a holder of the key.
@@ -95,8 +94,8 @@
 	return reply, nil
 }
 
-// otherHolder returns the live holder of a key besides this host, if there
-// is one that isn't in doubt.
+// otherHolder returns the live holder of a key other than this host, if there is one that isn't
+// unconfirmed.
 func (r *Router) otherHolder(key uint64, now time.Time) (blackboard.Host, bool) {
 	order := r.board.Hosts.Order(key, r.board.Settings.Domain, now)
 	for i, h := range order {
@@ -110,7 +109,7 @@
 	return blackboard.Host{}, false
 }
 
-// KeyEnd tells the key's holders what became of its request.
+// KeyEnd sends the outcome of a key's request to the key's holders.
 func (r *Router) KeyEnd(ctx context.Context, a KeyArgs) {
 	for i, h := range r.board.Hosts.Order(a.Record.Key, r.homeDomain(a.Record.Key), time.Now()) {
 		if i == keyHolders {
@@ -137,7 +136,7 @@
 	}
 }
 
-// KeySweeper returns the controller that forgets old keys.
+// KeySweeper returns the controller that removes old keys.
 func (r *Router) KeySweeper() blackboard.Controller {
 	return blackboard.Every(time.Second, func(context.Context) {
 		v := r.board.Config.View()
--- a/peer/limits.go
+++ b/peer/limits.go
@@ -12,58 +12,60 @@
 	"github.com/embercove/embercove/route"
 )
 
-// What hosts tell each other of the limits that endpoints name. Who hears in an answer that one
-// begins to name a limit, or names none any more, tells all live hosts at once, so that they ask
-// for starts from then on, or no longer; another value is told to the endpoint's owner alone,
-// whom the others ask. Asks for starts carry what the asker knows and bring back what the owner
-// knows, and a host that was told nothing hears it with its first answer.
-
-// LimitArgs tells of an endpoint's limit.
+// This file spreads the rate limits that endpoints name in their answers. When an answer shows
+// that an endpoint begins to name a limit, or no longer names one, the host tells all live hosts
+// at once, so that they begin or stop acquiring start permits. A changed value goes only to the
+// endpoint's owner, whom the others ask for permits. Permit requests carry the caller's view of
+// the limit and bring back the owner's, so a host that missed an announcement gets the limit with
+// its first permit.
+
+// LimitArgs reports an endpoint's limit.
 type LimitArgs struct {
 	Endpoint uint32
 	Limit    pace.Told
-	Onward   []uint32 // hosts that the one that is told tells in turn
+	Onward   []uint32 // hosts to which the receiver forwards the report
 }
 
-// Heard takes in what an answer of an endpoint to this host said of its limit.
+// Heard records the limit that an endpoint's answer to this host named.
 func (r *Router) Heard(spec *config.Endpoint, w pace.Word) {
-	switch r.hear(spec.Name, w, "its answer") {
+	switch r.applyLimit(spec.Name, w, "its answer") {
 	case pace.ChangeBegan, pace.ChangeEnded:
-		r.tellLimit(spec)
+		r.announceLimit(spec)
 	case pace.ChangeValue:
-		r.tellOwner(spec)
+		r.reportToOwner(spec)
 	case pace.ChangeNone:
-		r.confirmLimit(spec)
+		r.repeatLimit(spec)
 	}
 }
 
-// limitAgain is how long after the last word of a change it is told again, with what is known by
-// then.
-const limitAgain = 100 * time.Millisecond
+// limitRepeatAfter is how long after the last announcement of a change it is repeated, with the
+// then current values.
+const limitRepeatAfter = 100 * time.Millisecond
 
-// confirmLimit tells of a change again for some time, with a later answer. One that took a limit
-// back is of the moment at which its call was sent: hosts that had heard the limit a moment later
-// keep to it, and those that take it for over see no change any more. Words are lost, too.
-func (r *Router) confirmLimit(spec *config.Endpoint) {
+// repeatLimit announces a recent change again when a later answer arrives. An announcement that a
+// limit has ended is dated to when its call was sent. Hosts that observed the limit slightly
+// later ignore it, and hosts that already consider the limit ended see no change to announce.
+// Announcements may also be lost.
+func (r *Router) repeatLimit(spec *config.Endpoint) {
 	due := false
 	r.board.Endpoints.Find(config.NameNumber(spec.Name), func(_ *config.View, s *route.State) {
 		now := clock.Now()
-		due = s.Limit.Changed(now) && now.Sub(s.LimitNews) >= limitAgain
+		due = s.Limit.Changed(now) && now.Sub(s.LimitNews) >= limitRepeatAfter
 	})
 	if due {
-		r.tellLimit(spec)
+		r.announceLimit(spec)
 	}
 }
 
 // LimitTold implements owner.Peers.
 func (r *Router) LimitTold(spec *config.Endpoint, t pace.Told) {
 	if t.Heard {
-		r.hear(spec.Name, t.Word(clock.Now()), "another host")
+		r.applyLimit(spec.Name, t.Word(clock.Now()), "another host")
 	}
 }
 
-// hear takes a word of an endpoint's limit in, and logs what it changes.
-func (r *Router) hear(endpoint string, w pace.Word, from string) pace.Change {
+// applyLimit records a report of an endpoint's limit and logs what changed.
+func (r *Router) applyLimit(endpoint string, w pace.Word, from string) pace.Change {
 	c := r.board.Endpoints.Hear(config.NameNumber(endpoint), clock.Now(), w)
 	if c != pace.ChangeNone {
 		r.log.Info(c.String(), zap.String("endpoint", endpoint), zap.Float64("per_s", w.PerSecond), zap.String("from", from))
@@ -71,17 +73,18 @@
 	return c
 }
 
-// tellLimit tells all live hosts what this one knows of an endpoint's limit.
-func (r *Router) tellLimit(spec *config.Endpoint) {
+// announceLimit sends this host's view of an endpoint's limit to all live hosts.
+func (r *Router) announceLimit(spec *config.Endpoint) {
 	args := LimitArgs{Endpoint: config.NameNumber(spec.Name), Limit: r.limitOf(spec)}
-	r.noteLimitNews(args.Endpoint)
-	for _, group := range standingGroups(r.otherHosts(time.Now(), anyHost)) {
-		go r.tellLimitTo(context.Background(), group, args)
+	r.noteLimitAnnounced(args.Endpoint)
+	for _, group := range relayGroups(r.otherHosts(time.Now(), anyHost)) {
+		go r.sendLimit(context.Background(), group, args)
 	}
 }
 
-// tellLimitTo tells the first host of a group, or the next one where it gives no answer.
-func (r *Router) tellLimitTo(ctx context.Context, group []uint32, args LimitArgs) {
+// sendLimit sends a limit to the first host of a group, or to the next one if that doesn't
+// answer.
+func (r *Router) sendLimit(ctx context.Context, group []uint32, args LimitArgs) {
 	for i, n := range group {
 		h, _, known := r.board.Hosts.Get(n, time.Now())
 		if !known {
@@ -94,40 +97,40 @@
 	}
 }
 
-// ownerTold is the least time between two times that a host tells an endpoint's owner that
-// another limit is named, as each answer may name another one.
-const ownerTold = 100 * time.Millisecond
+// ownerReportInterval is the minimum time between two reports of changed values from a host to an
+// endpoint's owner, since every answer may name a different limit.
+const ownerReportInterval = 100 * time.Millisecond
 
-// tellOwner tells an endpoint's owner what this host knows of its limit.
-func (r *Router) tellOwner(spec *config.Endpoint) {
+// reportToOwner sends this host's view of an endpoint's limit to its owner.
+func (r *Router) reportToOwner(spec *config.Endpoint) {
 	h, self, err := r.ownerOf(spec)
 	if err != nil || self {
 		return
 	}
 	number, now, due := config.NameNumber(spec.Name), clock.Now(), false
 	r.board.Endpoints.Touch(number, func(s *route.State) {
-		if due = now.Sub(s.LimitTold) >= ownerTold; due {
+		if due = now.Sub(s.LimitTold) >= ownerReportInterval; due {
 			s.LimitTold = now
 		}
 	})
 	if due {
-		go r.tellLimitTo(context.Background(), []uint32{h.Number}, LimitArgs{Endpoint: number, Limit: r.limitOf(spec)})
+		go r.sendLimit(context.Background(), []uint32{h.Number}, LimitArgs{Endpoint: number, Limit: r.limitOf(spec)})
 	}
 }
 
-// noteLimitNews notes that hosts are told of an endpoint's limit.
-func (r *Router) noteLimitNews(number uint32) {
+// noteLimitAnnounced records when an endpoint's limit was last announced.
+func (r *Router) noteLimitAnnounced(number uint32) {
 	r.board.Endpoints.Touch(number, func(s *route.State) { s.LimitNews = clock.Now() })
 }
 
-// Limit takes in what another host tells of an endpoint's limit.
+// Limit records another host's report of an endpoint's limit.
 func (s *server) Limit(a *LimitArgs, _ *Nothing) error {
 	if v := s.r.board.Config.View(); v != nil && v.Endpoints.Get(a.Endpoint) != nil {
 		s.r.LimitTold(v.Endpoints.Get(a.Endpoint), a.Limit)
-		s.r.noteLimitNews(a.Endpoint)
+		s.r.noteLimitAnnounced(a.Endpoint)
 	}
 	for _, n := range a.Onward {
-		go s.r.tellLimitTo(s.ctx, []uint32{n}, LimitArgs{Endpoint: a.Endpoint, Limit: a.Limit})
+		go s.r.sendLimit(s.ctx, []uint32{n}, LimitArgs{Endpoint: a.Endpoint, Limit: a.Limit})
 	}
 	return nil
 }
--- a/peer/marks.go
+++ b/peer/marks.go
@@ -14,52 +14,54 @@
 	"github.com/embercove/embercove/request"
 )
 
-// What hosts tell each other of requests under which endpoints ended. A mark that changes is
-// told to all live hosts at once. Besides, exchanges carry a sum of all marks, so that hosts
-// that were cut off or have just started get what they lack; the higher mark holds, and
-// nothing is lost with the host that saw an end, nor counted twice.
+// This file spreads failure marks, which record requests that were running on endpoints as those
+// crashed. A changed mark is sent to all live hosts at once. Exchanges also carry a checksum of
+// all marks, so that hosts that were partitioned or have just started get what they lack. Of two
+// marks of a request the higher one wins, so no crash is lost with the host that saw it, and none
+// is counted twice.
 
-// MarksArgs carries marks.
+// MarksArgs carries failure marks.
 type MarksArgs struct {
 	Rows   []quarantine.Row
-	Onward []uint32 // hosts that the one that is told tells in turn
-	Answer bool     // the marks that the other host has are asked for
+	Onward []uint32 // hosts to which the receiver forwards the marks
+	Answer bool     // the receiver's own marks are requested
 }
 
-// MarksReply carries the marks that were asked for.
+// MarksReply carries the marks that were requested.
 type MarksReply struct{ Rows []quarantine.Row }
 
-// TrialArgs asks for a trial.
+// TrialArgs requests a probe of a suspect request.
 type TrialArgs struct{ quarantine.Ask }
 
 // TrialReply answers TrialArgs.
 type TrialReply struct{ quarantine.Reply }
 
-// TrialDoneArgs ends a trial, or tells that its run has settled.
+// TrialDoneArgs ends a probe, or reports that its run has settled.
 type TrialDoneArgs struct {
 	Holder  uint64
-	Settled bool // it isn't over, but goes on well
+	Settled bool // the run is still in progress and looks healthy
 	Known   []quarantine.Row
 }
 
-// mostMarks is how many marks are told at once, some 90 bytes each. Hosts that lack more
-// get them with further exchanges.
-const mostMarks = 1024
+// maxMarks is how many marks are sent at once, about 90 bytes each. Hosts that lack more get them
+// with later exchanges.
+const maxMarks = 1024
 
-// marksEach is the least time between two times that a host compares its marks with others.
-const marksEach = time.Second
+// marksInterval is the minimum time between two comparisons of a host's marks with those of
+// others.
+const marksInterval = time.Second
 
-// TellMarks tells all live hosts of marks that have changed.
+// TellMarks sends changed marks to all live hosts.
 func (r *Router) TellMarks(rows []quarantine.Row) {
-	for _, group := range standingGroups(r.otherHosts(time.Now(), anyHost)) {
-		go r.tellMarks(context.Background(), group, rows)
+	for _, group := range relayGroups(r.otherHosts(time.Now(), anyHost)) {
+		go r.sendMarks(context.Background(), group, rows)
 	}
 }
 
 func anyHost(*blackboard.Host) bool { return true }
 
-// tellMarks tells the first host of a group, or the next one where it gives no answer.
-func (r *Router) tellMarks(ctx context.Context, group []uint32, rows []quarantine.Row) {
+// sendMarks sends marks to the first host of a group, or to the next one if that doesn't answer.
+func (r *Router) sendMarks(ctx context.Context, group []uint32, rows []quarantine.Row) {
 	for i, n := range group {
 		h, _, known := r.board.Hosts.Get(n, time.Now())
 		if !known {
@@ -71,30 +73,31 @@
 	}
 }
 
-// callMarks makes one call with marks. A connection that says nothing may have gone silent.
+// callMarks makes one call with marks. It retries over a new connection, as the open one may have
+// gone silent.
 func (r *Router) callMarks(ctx context.Context, h blackboard.Host, args *MarksArgs) (*MarksReply, error) {
 	reply := new(MarksReply)
 	err := r.pool.call(ctx, h.Peers, methodMarks, args, reply, r.timeout())
 	if errors.Is(err, ErrOutOfReach) {
 		reply = new(MarksReply)
-		err = r.pool.callAnew(ctx, h.Peers, methodMarks, args, reply, r.timeout())
+		err = r.pool.callOnNewConn(ctx, h.Peers, methodMarks, args, reply, r.timeout())
 	}
 	return reply, err
 }
 
-// Marks takes in what another host tells.
+// Marks merges marks from another host.
 func (s *server) Marks(a *MarksArgs, reply *MarksReply) error {
 	s.r.learnMarks(a.Rows)
 	for _, n := range a.Onward {
-		go s.r.tellMarks(s.ctx, []uint32{n}, a.Rows)
+		go s.r.sendMarks(s.ctx, []uint32{n}, a.Rows)
 	}
 	if a.Answer {
-		reply.Rows = s.r.someMarks()
+		reply.Rows = s.r.sampleMarks()
 	}
 	return nil
 }
 
-// learnMarks takes marks in, and tells others what this host knows better.
+// learnMarks merges marks, and announces those that this host knows better than the sender.
 func (r *Router) learnMarks(rows []quarantine.Row) {
 	if len(rows) == 0 {
 		return
@@ -104,55 +107,55 @@
 	}
 }
 
-// someMarks returns the marks that are told at once, any of them if there are many.
-func (r *Router) someMarks() []quarantine.Row {
+// sampleMarks returns the marks to send in one message, a random subset if there are too many.
+func (r *Router) sampleMarks() []quarantine.Row {
 	rows := r.board.Suspects.Rows(clock.Now())
-	if len(rows) > mostMarks {
+	if len(rows) > maxMarks {
 		rand.Shuffle(len(rows), func(i, k int) { rows[i], rows[k] = rows[k], rows[i] })
-		rows = rows[:mostMarks]
+		rows = rows[:maxMarks]
 	}
 	return rows
 }
 
-// compareMarks gives and gets marks where another host's sum differs from this one's.
+// compareMarks swaps marks with another host if its checksum differs from this host's.
 func (r *Router) compareMarks(ctx context.Context, h blackboard.Host, sum uint64, now time.Time) {
 	if sum == r.board.Suspects.Sum() {
 		return
 	}
 	r.mu.Lock()
-	due := now.Sub(r.marksAt) >= marksEach
+	due := now.Sub(r.marksComparedAt) >= marksInterval
 	if due {
-		r.marksAt = now
+		r.marksComparedAt = now
 	}
 	r.mu.Unlock()
 	if !due {
 		return
 	}
-	reply, err := r.callMarks(ctx, h, &MarksArgs{Rows: r.someMarks(), Answer: true})
+	reply, err := r.callMarks(ctx, h, &MarksArgs{Rows: r.sampleMarks(), Answer: true})
 	if err != nil {
-		r.log.Debug("marks not compared", zap.String("host", h.Name), zap.Error(err))
+		r.log.Debug("failure marks not compared", zap.String("host", h.Name), zap.Error(err))
 		return
 	}
 	r.learnMarks(reply.Rows)
 }
 
-// trialKey is what the hosts that give out trials are chosen by.
-const trialKey = 0x7472_6961_6c73
+// coordinatorKey is the rendezvous key by which the hosts that grant probes are chosen.
+const coordinatorKey = 0x7472_6961_6c73
 
-// mostTrialAsks is how many hosts are asked for a trial, one after the other.
-const mostTrialAsks = 2
+// maxCoordinators is how many hosts are asked for a probe, one after the other.
+const maxCoordinators = 2
 
-// Trial asks the host that gives out trials for one. All hosts of a region that are in touch
-// ask the same; where it is out of reach, the next; and where none is, this one decides.
+// Trial asks a probe coordinator to grant a probe. All connected hosts of a region ask the same
+// one. If it is unreachable, the next one is asked, and if none is reachable, this host decides.
 func (r *Router) Trial(ctx context.Context, a quarantine.Ask) quarantine.Reply {
 	now := clock.Now()
 	a.Known = r.board.Suspects.RowsOf(a.Request, now)
-	for _, h := range r.trialHosts(time.Now()) {
+	for _, h := range r.probeCoordinators(time.Now()) {
 		if h.Number == r.board.Number {
 			break
 		}
 		var reply TrialReply
-		if r.fail(ctx, h, r.pool.call(ctx, h.Peers, methodTrial, &TrialArgs{a}, &reply, min(startTimeout, r.timeout()))) == nil {
+		if r.noteOutcome(ctx, h, r.pool.call(ctx, h.Peers, methodTrial, &TrialArgs{a}, &reply, min(permitTimeout, r.timeout()))) == nil {
 			r.learnMarks(reply.Known)
 			return reply.Reply
 		}
@@ -160,9 +163,9 @@
 	return r.board.Suspects.Grant(a, now)
 }
 
-// trialHosts returns the hosts that give out trials, the first one first: those of the first
-// failure domain of the region that this host isn't cut off from.
-func (r *Router) trialHosts(now time.Time) (hosts []blackboard.Host) {
+// probeCoordinators returns the hosts that grant probes, in order of preference. They are in the
+// first failure domain of the region that this host isn't cut off from.
+func (r *Router) probeCoordinators(now time.Time) (hosts []blackboard.Host) {
 	v := r.board.Config.View()
 	if v == nil {
 		return nil
@@ -171,8 +174,8 @@
 		if d.Region != r.board.Settings.Region || r.board.Domains.CutOff(d.Name, now) {
 			continue
 		}
-		for _, h := range r.board.Hosts.Order(trialKey, d.Name, now) {
-			if !h.Doubted && len(hosts) < mostTrialAsks {
+		for _, h := range r.board.Hosts.Order(coordinatorKey, d.Name, now) {
+			if !h.Doubted && len(hosts) < maxCoordinators {
 				hosts = append(hosts, h)
 			}
 		}
@@ -183,12 +186,12 @@
 	return nil
 }
 
-// TrialDone ends a trial, or tells that its run has settled. What is known of its request goes
-// along, so that the next trial begins with it.
+// TrialDone ends a probe, or reports that its run has settled. It sends along what is known of
+// the request, so that the next probe starts from that.
 func (r *Router) TrialDone(f request.Fingerprint, holder uint64, settled bool) {
 	args := &TrialDoneArgs{Holder: holder, Settled: settled, Known: r.board.Suspects.RowsOf(f, clock.Now())}
-	r.doneTrial(args)
-	for _, h := range r.trialHosts(time.Now()) {
+	r.applyProbeEnd(args)
+	for _, h := range r.probeCoordinators(time.Now()) {
 		if h.Number == r.board.Number {
 			return
 		}
@@ -198,8 +201,8 @@
 	}
 }
 
-// doneTrial takes the end of a trial in, if this host gave it out.
-func (r *Router) doneTrial(a *TrialDoneArgs) {
+// applyProbeEnd records the end of a probe, if this host granted it.
+func (r *Router) applyProbeEnd(a *TrialDoneArgs) {
 	if a.Settled {
 		r.board.Suspects.Settle(a.Holder, clock.Now())
 		return
@@ -207,24 +210,24 @@
 	r.board.Suspects.Done(a.Holder)
 }
 
-// Trial answers another host.
+// Trial answers another host's request for a probe.
 func (s *server) Trial(a *TrialArgs, reply *TrialReply) error {
 	s.r.learnMarks(a.Known)
 	reply.Reply = s.r.board.Suspects.Grant(a.Ask, clock.Now())
 	return nil
 }
 
-// TrialDone answers another host.
+// TrialDone records the end of another host's probe.
 func (s *server) TrialDone(a *TrialDoneArgs, _ *Nothing) error {
 	s.r.learnMarks(a.Known)
-	s.r.doneTrial(a)
+	s.r.applyProbeEnd(a)
 	return nil
 }
 
-// marksSweep is how often marks that were kept for long enough are looked for.
-const marksSweep = 10 * time.Second
+// marksSweepInterval is how often expired marks are removed.
+const marksSweepInterval = 10 * time.Second
 
-// MarksSweeper returns the controller that forgets marks.
+// MarksSweeper returns the controller that removes expired marks.
 func (r *Router) MarksSweeper() blackboard.Controller {
-	return blackboard.Every(marksSweep, func(context.Context) { r.board.Suspects.Sweep(clock.Now()) })
+	return blackboard.Every(marksSweepInterval, func(context.Context) { r.board.Suspects.Sweep(clock.Now()) })
 }
--- a/peer/messages.go
+++ b/peer/messages.go
@@ -32,85 +32,85 @@
 	methodTrialDone = "P.TrialDone"
 )
 
-// Beat is a heartbeat of a host, handed on.
-type Beat struct {
+// Heartbeat is a host's heartbeat, as hosts forward it.
+type Heartbeat struct {
 	Number      uint32
 	Incarnation uint64
 	Beat        uint64
 	Leaving     bool
 }
 
-// Name introduces a host whose number the other side doesn't know.
-type Name struct {
+// HostIdentity introduces a host that the receiver knows only by number, or not at all.
+type HostIdentity struct {
 	Name, Domain, Region, Peers string
 }
 
-// ExchangeArgs and ExchangeReply carry the same: what each side knows.
+// ExchangeArgs carries what the sender knows. ExchangeReply has the same fields.
 type ExchangeArgs struct {
-	From     Name
+	From     HostIdentity
 	Revision uint64
-	Roster   config.Position // of the endpoints that registered themselves
-	Fence    uint64          // highest that an order is known to have carried
-	Beats    []Beat
-	Digests  []byte   // packed
-	Gone     []Beat   // hosts that a watcher could not reach
-	Names    []Name   // introductions that were asked for
-	Want     []uint32 // hosts to introduce
-	Heads    bool     // cached prompts are told of as well
-	News     bool     // no digests are told of, either way
-	Members  uint64   // hash of the hosts that are taken for members
-	All      bool     // every heartbeat is asked for
-	Regions  []byte   // packed summaries of regions
-	Marks    uint64   // sum of what is known of requests under which endpoints ended; 0: nothing
-	Heard    uint32   // ms since the platform answered what the sender knows, and 1; 0: it never did
+	Roster   config.Position // revision of the registered endpoints
+	Fence    uint64          // highest fence that any order is known to have carried
+	Beats    []Heartbeat
+	Digests  []byte         // packed
+	Gone     []Heartbeat    // hosts that a watcher could not reach
+	Names    []HostIdentity // the hosts that were requested by Want
+	Want     []uint32       // hosts whose identity is requested
+	Heads    bool           // cached prompts are included
+	News     bool           // a change notice: no digests in either direction
+	Members  uint64         // hash of the hosts that the sender considers members
+	All      bool           // all heartbeats are requested
+	Regions  []byte         // packed region summaries
+	Marks    uint64         // checksum of the failure marks; 0: none
+	Heard    uint32         // 1 + ms since the platform confirmed what the sender knows; 0: it never did
 }
 
 // ExchangeReply is the answer to ExchangeArgs.
 type ExchangeReply ExchangeArgs
 
-// FetchArgs asks for what is newer than the asker's.
+// FetchArgs requests whatever is newer than the sender's revisions.
 type FetchArgs struct {
-	After  uint64          // revision that the asker has; 0: none
+	After  uint64          // revision that the sender has; 0: none
 	Sum    uint64          // xxhash of its document
 	Roster config.Position // of its roster
 }
 
-// FetchReply carries a document, revision 0: nothing newer; and a roster.
+// FetchReply carries a document and a roster. Revision 0 of the document means that nothing newer
+// exists.
 type FetchReply struct {
 	Document PackedDocument
-	Whole    []byte               // a packed roster; empty: none newer than FetchArgs.Roster, or Change tells it
-	Change   *config.RosterChange // since the asker's roster
+	Whole    []byte               // packed roster; empty: none newer than FetchArgs.Roster, or Change has it
+	Change   *config.RosterChange // since the roster of FetchArgs
 }
 
-// ReleaseArgs carries several releases at once.
+// ReleaseArgs carries a batch of releases.
 type ReleaseArgs struct{ Rows []owner.Release }
 
-// InheritArgs asks for what a host has reserved of an endpoint.
+// InheritArgs requests a host's reservations at an endpoint.
 type InheritArgs struct{ Endpoint uint32 }
 
-// ClaimsArgs asks which attempts a host still holds.
+// ClaimsArgs asks which of the attempts a host still holds.
 type ClaimsArgs struct{ Attempts []request.Attempt }
 
-// ClaimsReply answers in the same order.
+// ClaimsReply answers in the order of ClaimsArgs.
 type ClaimsReply struct{ Held []bool }
 
-// KeyArgs looks an idempotency key up and takes it, or ends it.
+// KeyArgs looks up and takes an idempotency key, or ends its use.
 type KeyArgs struct {
 	Record blackboard.KeyRecord
-	// AgeMillis is how long ago the caller first sent the key; 0: now.
+	// AgeMillis is how long ago the client first sent the key; 0: just now.
 	AgeMillis int64
-	// Copy marks the second holder's copy; it asks nobody further.
+	// Copy marks a call to the second holder, which forwards it to nobody.
 	Copy bool
 }
 
-// KeyReply is the state found; KeyNew means that the asker now holds it.
+// KeyReply is the state found. KeyNew means that the caller now holds the key.
 type KeyReply struct {
 	State  blackboard.KeyState
 	Record blackboard.KeyRecord
-	// TenureMillis is how long the answering host has seen every key that
-	// it was asked about.
+	// TenureMillis is for how long the answering host has seen all uses of its keys.
 	TenureMillis int64
 }
 
-// Nothing is an empty reply.
+// Nothing is an empty message.
 type Nothing struct{}
--- a/peer/news.go
+++ b/peer/news.go
@@ -10,107 +10,106 @@
 	"github.com/embercove/embercove/config"
 )
 
-// News is what must be in force everywhere soon: a revision of the configuration,
-// the endpoints that registered themselves, a host that is gone. It is told around
-// at once, besides the exchanges.
+// Change notices are for what must take effect everywhere soon: a revision of the configuration,
+// the roster of registered endpoints, a host that is gone. They are sent at once, in addition to
+// the regular exchanges.
 
-// OfferRoster offers the endpoints that registered themselves to the board and
-// lays the tables out for them. What changed is told around, because another
-// host's own watch may be cut off or say nothing.
+// OfferRoster offers a roster of registered endpoints to the board, and applies and announces it
+// if it is newer. It is announced because another host's own watch may be cut off or silent.
 func (r *Router) OfferRoster(ro *config.Roster, from string) {
-	in, err := r.board.Config.OfferRoster(ro, time.Now())
+	accepted, err := r.board.Config.OfferRoster(ro, time.Now())
 	if err != nil {
 		r.log.Warn("endpoints left out of the roster", zap.Stringer("roster", ro.Revision), zap.String("from", from), zap.Error(err))
 	}
-	if !in {
-		r.noteLeftOut(ro, from)
+	if !accepted {
+		r.logStaleRoster(ro, from)
 		return
 	}
-	r.layOut(from)
+	r.applyView(from)
 	r.log.Info("roster in force", zap.Stringer("roster", ro.Revision), zap.Int("endpoints", ro.Endpoints.Len()), zap.String("from", from))
-	r.tellRoster()
+	r.announceRoster()
 }
 
-// noteLeftOut logs that a roster isn't taken over, as it is of an earlier revision than the one
-// in force.
-func (r *Router) noteLeftOut(ro *config.Roster, from string) {
+// logStaleRoster logs that a roster was ignored because it is older than the one in force.
+func (r *Router) logStaleRoster(ro *config.Roster, from string) {
 	if now := r.board.Config.RosterRevision(); ro.Revision < now {
 		r.log.Info("earlier roster left out", zap.Stringer("roster", ro.Revision), zap.Stringer("in_force", now), zap.String("from", from))
 	}
 }
 
-// rosterShare is the least time between two rounds of news of rosters, as a share of the time
-// within which a change has to be in force. In a large fleet the roster changes all the time,
-// and news of a host that is gone must not wait behind it.
-const rosterShare = 0.2
+// rosterSpreadShare is the minimum time between two announcements of rosters, as a share of the
+// time within which a change has to take effect. In a large fleet the roster changes all the
+// time, and notices of hosts that are gone must not queue behind it.
+const rosterSpreadShare = 0.2
 
-// tellRoster tells around that the roster has changed, now or once that is due again.
-func (r *Router) tellRoster() {
-	every := time.Duration(rosterShare * float64(config.FractionMillis(r.board.Settings.ChangeMillis)))
+// announceRoster announces that the roster has changed, now or once the minimum interval is over.
+func (r *Router) announceRoster() {
+	every := time.Duration(rosterSpreadShare * float64(config.FractionMillis(r.board.Settings.ChangeMillis)))
 	now := time.Now()
 	r.mu.Lock()
-	wait := r.rosterAt.Add(every).Sub(now)
-	pending := r.rosterAt.After(now)
+	wait := r.rosterSpreadAt.Add(every).Sub(now)
+	pending := r.rosterSpreadAt.After(now)
 	if !pending {
-		r.rosterAt = now.Add(max(0, wait))
+		r.rosterSpreadAt = now.Add(max(0, wait))
 	}
 	r.mu.Unlock()
 	switch {
-	case pending: // it will be told with that
+	case pending: // the scheduled announcement includes this change
 	case wait <= 0:
-		r.tellAround()
+		r.announceChanges()
 	default:
-		time.AfterFunc(wait, r.tellAround)
+		time.AfterFunc(wait, r.announceChanges)
 	}
 }
 
-// lapseTick is how often lapsed registrations are looked at.
-const lapseTick = 250 * time.Millisecond
+// expiryCheckInterval is how often endpoints with expired registrations are checked.
+const expiryCheckInterval = 250 * time.Millisecond
 
-// Lapser returns the controller that stops using endpoints which have been
-// without a registration for too long. Nothing is told around: each host comes to it by
-// itself.
+// Lapser returns the controller that drops endpoints whose registrations expired too long ago. It
+// announces nothing, since each host finds out by itself.
 func (r *Router) Lapser() blackboard.Controller {
-	return blackboard.Every(lapseTick, func(context.Context) {
+	return blackboard.Every(expiryCheckInterval, func(context.Context) {
 		endpoints, evacuations := r.board.Config.DropLapsed(time.Now())
 		if endpoints+evacuations == 0 {
 			return
 		}
-		r.layOut("what was known")
+		r.applyView("what was known")
 		r.log.Info("lapsed registrations dropped", zap.Stringer("roster", r.board.Config.RosterRevision()), zap.Int("endpoints", endpoints),
 			zap.Int("evacuations", evacuations))
 	})
 }
 
-// Offer offers a revision to the board and lays the tables out for it.
+// Offer offers a configuration revision to the board, and applies and announces it if it is
+// newer.
 func (r *Router) Offer(revision uint64, src []byte, from string) {
-	came := time.Now()
-	behind := r.board.Config.Behind(came)
-	heard, _ := r.board.Config.HeardFor(came)
-	in, err := r.board.Config.Offer(revision, src)
+	received := time.Now()
+	behind := r.board.Config.Behind(received)
+	storeAge, _ := r.board.Config.HeardFor(received)
+	accepted, err := r.board.Config.Offer(revision, src)
 	if err != nil {
 		r.log.Warn("revision not accepted", zap.Uint64("revision", revision), zap.String("from", from), zap.Error(err))
 		return
 	}
-	if !in {
+	if !accepted {
 		return
 	}
-	r.layOut(from)
+	r.applyView(from)
 	if r.Accepted != nil {
 		r.Accepted(r.board.Config.View())
 	}
 	r.log.Info("revision in force", zap.Uint64("revision", revision), zap.String("from", from), zap.Int("bytes", len(src)),
-		zap.Duration("behind", behind), zap.Duration("store_heard_ago", heard), zap.Duration("taken_over_in", time.Since(came)))
-	r.tellAround()
+		zap.Duration("behind", behind), zap.Duration("store_heard_ago", storeAge), zap.Duration("taken_over_in", time.Since(received)))
+	r.announceChanges()
 }
 
-// layOut lays the tables out for the view in use, and says which failure domains are
-// being emptied since. Two that came at once would else lay the tables out for the older
-// one last, and requests went by it until the next news.
-func (r *Router) layOut(from string) {
+// applyView updates the tables for the current view, and logs which failure domains began or
+// ceased to be evacuated. The lock and the fresh read of the view ensure that two concurrent
+// changes can't leave the tables at the older one, which requests would then use until the next
+// change.
+func (r *Router) applyView(from string) {
 	defer r.board.Wake.All()
-	r.layMu.Lock()
-	defer r.layMu.Unlock()
+	r.viewMu.Lock()
+	defer r.viewMu.Unlock()
 	v := r.board.Config.View()
 	if v == nil {
 		return
@@ -129,15 +128,15 @@
 	}
 }
 
-// tellAround tells news to some peers now, and for a while to others. News that
-// comes soon after other news goes with what comes till then: where hundreds of
-// hosts start at once, each has news of all others.
-func (r *Router) tellAround() {
+// announceChanges sends a change notice to some peers now, and to others for a while. Notices
+// that come soon after another one are merged into the next: when hundreds of hosts start at
+// once, each has changes of all others to announce.
+func (r *Router) announceChanges() {
 	r.mu.Lock()
 	now := time.Now()
-	r.hot = now.Add(hotFor)
-	wait := r.spreadAt.Add(spreadEvery).Sub(now)
-	if wait > spreadEvery { // it will be told anyway
+	r.announceUntil = now.Add(announceFor)
+	wait := r.spreadAt.Add(spreadInterval).Sub(now)
+	if wait > spreadInterval { // already scheduled
 		r.mu.Unlock()
 		return
 	}
@@ -150,20 +149,19 @@
 	time.AfterFunc(wait, r.spread)
 }
 
-// spreadEvery is the least time between two rounds of news.
-const spreadEvery = 250 * time.Millisecond
+// spreadInterval is the minimum time between two rounds of change notices.
+const spreadInterval = 250 * time.Millisecond
 
-// hotFor is how long news is told around every watchEvery. Telling it once leaves
-// out some hosts of many: if each tells four others, one in e^4 hears nothing.
-const hotFor = 3500 * time.Millisecond
+// announceFor is how long a change is announced again every watchInterval. A single announcement
+// misses some hosts of a large fleet: if each host informs four others, one in e^4 gets nothing.
+const announceFor = 3500 * time.Millisecond
 
-// spread tells some peers of a new revision or a host that is gone at once, besides the platform's
-// watch and the ordinary exchange: two of the own domain, one of another, and
-// one of another region.
+// spread sends a change notice to up to four peers: two of the own domain, one of another domain
+// and one of another region. It supplements the platform's watch and the regular exchanges.
 func (r *Router) spread() {
 	now := time.Now()
-	digests := r.tellsDigests(now)
-	joining := r.board.Joining(now) && !r.overLarge() // whole exchanges tell more heartbeats, by which hosts meet
+	digests := r.shouldSendDigests(now)
+	joining := r.board.Joining(now) && !r.exchangesTooLarge() // full exchanges carry more heartbeats, by which hosts get to know each other
 	for _, round := range []uint64{1, 2, otherDomainEvery, otherRegionEvery} {
 		if h, ok := r.partner(round, now); ok {
 			go r.exchange(context.Background(), h, !digests && !joining)
@@ -172,15 +170,15 @@
 	}
 }
 
-// tellsDigests reports whether the first to hear of news is told digests as well: in small
-// regions, if nobody was in this round. Where endpoints come and go all the time there is
-// news several times a second.
-func (r *Router) tellsDigests(now time.Time) bool {
-	if r.large() {
+// shouldSendDigests reports whether the first peer of a change notice gets digests too: in small
+// regions, if no digests were sent in this round. Where endpoints come and go all the time there
+// are several notices a second.
+func (r *Router) shouldSendDigests(now time.Time) bool {
+	if r.omitDigests() {
 		return false
 	}
-	every := r.every()
+	every := r.roundInterval()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return now.Sub(r.digestsAt) >= every
+	return now.Sub(r.digestsSentAt) >= every
 }
--- a/peer/news_test.go
+++ b/peer/news_test.go
@@ -9,19 +9,20 @@
 	"github.com/embercove/embercove/route"
 )
 
-// TestNewsInOrder has many rosters come at once, from the store and from peers, each of
-// which empties a failure domain or takes it back, and checks that the table that requests
-// are placed by is laid out for the last of them, and that operators are told the same.
+// TestNewsInOrder applies many rosters concurrently, as they arrive from the store and from
+// peers, each of which begins or ends the evacuation of a failure domain. It guards against an
+// older roster being applied last: the routing table and the list of evacuations must match the
+// newest roster.
 func TestNewsInOrder(t *testing.T) {
-	const rounds, at = 2000, 8 // rosters that come at the same time
+	const rounds, concurrent = 2000, 8 // concurrent: rosters applied concurrently
 	r := testRouter("h", "", 0, nil)
 	b := r.board
 	r.Offer(1, []byte(newsDocument), "test")
 	for round := range rounds {
 		var wg sync.WaitGroup
-		for i := range at {
+		for i := range concurrent {
 			wg.Go(func() {
-				revision := config.Position(round*at + i + 1)
+				revision := config.Position(round*concurrent + i + 1)
 				ro := &config.RosterList{Revision: revision}
 				for k := range 20 {
 					ro.Endpoints = append(ro.Endpoints, config.Endpoint{Name: fmt.Sprint("e", k), Address: fmt.Sprintf("10.0.0.%d:1", k+1), Domain: "d",
@@ -38,11 +39,11 @@
 		b.Endpoints.Read(func(fleet *route.Fleet) {
 			v := fleet.View
 			if v != want || fleet.Find(route.Number("e0")).Evacuated != want.Emptied(want.Endpoint("e0")) {
-				t.Fatalf("round %d: laid out for roster %d, want %d", round, v.Roster, want.Roster)
+				t.Fatalf("round %d: the routing table is at roster %d, want %d", round, v.Roster, want.Roster)
 			}
 		})
 		if rows := b.Emptied.List(); len(rows) != len(want.Evacuated) || len(rows) > 0 && rows[0].Evacuation != want.Evacuated["d"] {
-			t.Fatalf("round %d: told of %+v, want %+v", round, rows, want.Evacuated)
+			t.Fatalf("round %d: evacuations %+v, want %+v", round, rows, want.Evacuated)
 		}
 	}
 }
--- a/peer/pack.go
+++ b/peer/pack.go
@@ -8,9 +8,8 @@
 	"github.com/embercove/embercove/route"
 )
 
-// Digests cross the wire many times a second, so they are packed: varints in
-// coarse units, with a mask of the fields that aren't zero. A digest takes 8
-// to 16 bytes, where gob takes three times as much.
+// Digests are sent many times a second, so they are packed: varints in coarse units, with a bit
+// mask of the nonzero fields. A packed digest takes 8 to 16 bytes, a third of its gob encoding.
 
 // Units of packed fields.
 const (
@@ -50,10 +49,10 @@
 func zigzag(n int64) uint64   { return uint64(n<<1) ^ uint64(n>>63) }
 func unzigzag(n uint64) int64 { return int64(n>>1) ^ -int64(n&1) }
 
-// errPacked is returned for a message that pack can't have made.
-var errPacked = errors.New("packed digests are damaged")
+// errDamaged is returned for a message that pack can't have produced.
+var errDamaged = errors.New("packed digests are damaged")
 
-// reader takes a packed message apart; after a fault it yields zeros.
+// reader parses a packed message. After an error it returns zeros.
 type reader struct {
 	src []byte
 	bad bool
@@ -82,7 +81,7 @@
 // packedFields is the number of fields in a packed digest.
 const packedFields = 12
 
-// unpack reads what pack wrote. Values that don't fit their field are cut.
+// unpack parses the output of pack. Values that don't fit their field are truncated.
 func unpack(src []byte) ([]route.Digest, error) {
 	r := &reader{src: src}
 	var out []route.Digest
@@ -104,7 +103,7 @@
 			d.Heads = append(d.Heads, route.HeadDigest{Head: r.uint32(), Tokens: uint32(r.uvarint() * packHead)})
 		}
 		if r.bad {
-			return out, errPacked
+			return out, errDamaged
 		}
 		out = append(out, d)
 	}
--- a/peer/partner.go
+++ b/peer/partner.go
@@ -7,16 +7,16 @@
 	"github.com/embercove/embercove/blackboard"
 )
 
-// Cadence of exchanges with hosts outside the own failure domain.
+// How often an exchange goes to a host outside the own failure domain.
 const (
-	otherDomainEvery = 3 // exchanges
+	otherDomainEvery = 3 // in rounds
 	otherRegionEvery = 8
 )
 
-// scope is a group of hosts of which one is picked.
+// scope is a group of hosts from which a partner is picked.
 type scope int
 
-// The scopes, as a host sees them.
+// The scopes, relative to this host.
 const (
 	scopeNear   scope = iota // the own failure domain
 	scopeRegion              // the other failure domains of the region
@@ -24,14 +24,13 @@
 	scopes
 )
 
-// partner picks whom to exchange with: mostly a host of the own domain, now
-// and then one of another domain or region. Of many hosts it is mostly one of
-// the few that this host keeps to.
+// partner picks the host for an exchange: usually one of the own domain, sometimes one of another
+// domain or region. In a large scope it is usually one of this host's neighbours.
 func (r *Router) partner(round uint64, now time.Time) (blackboard.Host, bool) {
-	drawn := r.draw(now)
+	samples := r.sampleScopes(now)
 	for _, c := range scopesOf(round) {
-		if drawn[c].seen > 0 {
-			return drawn[c].pick(), true
+		if samples[c].seen > 0 {
+			return samples[c].pick(), true
 		}
 	}
 	return blackboard.Host{}, false
@@ -48,47 +47,46 @@
 	return []scope{scopeNear, scopeRegion, scopeFar}
 }
 
-// A host that exchanged with each of hundreds in turn would keep a connection to each, and
-// run out of descriptors. So it keeps to some of a scope, chosen by rendezvous hash, and
-// meets others now and then. Both ways together they join a scope as well as if all
-// were met.
+// A host that exchanged with hundreds of others in turn would keep a connection to each and run
+// out of file descriptors. So each host has a few neighbours per scope, chosen by rendezvous
+// hash, and exchanges with other hosts only now and then. As links work in both directions, state
+// spreads through a scope as well as if every host contacted all others.
 const (
-	neighbours = 12 // of a scope
-	strangerIn = 8  // exchanges, one is with any host of the scope
+	neighbours       = 12 // per scope
+	strangerInterval = 8  // one in this many exchanges is with a random host of the scope
 )
 
-// draws is how many hosts are drawn of a whole scope, of which the first that
-// answers, as far as is known, is picked. Only where none does it is one that
-// counts as gone, so that a healed cut is noticed.
-const draws = 3
+// sampleSize is how many hosts are sampled from a whole scope. The first one that seems reachable
+// is picked; if none does, one that counts as gone is, so that a healed partition is noticed.
+const sampleSize = 3
 
-// candidates are the hosts of a scope that were drawn.
+// candidates are the hosts sampled from one scope.
 type candidates struct {
-	seen  int
-	any   [draws]blackboard.Host // each host with the same chance
-	sound [draws]bool            // live and not doubted
+	seen    int
+	sampled [sampleSize]blackboard.Host // uniform sample
+	healthy [sampleSize]bool            // live and not unconfirmed
 
-	kept   [neighbours]blackboard.Host // the sound ones that this host keeps to
+	kept   [neighbours]blackboard.Host // the healthy neighbours
 	weight [neighbours]uint64
 	n      int
 }
 
-// add has a host take part.
+// add adds a host of the scope.
 func (c *candidates) add(self uint32, h *blackboard.Host, live bool) {
 	c.seen++
-	sound := live && !h.Doubted
-	for i := range draws {
+	isHealthy := live && !h.Doubted
+	for i := range sampleSize {
 		if rand.IntN(c.seen) == 0 {
-			c.any[i], c.sound[i] = *h, sound
+			c.sampled[i], c.healthy[i] = *h, isHealthy
 		}
 	}
-	if sound {
-		c.keep(h, blackboard.Rendezvous(uint64(self), h.Number))
+	if isHealthy {
+		c.keepNeighbour(h, blackboard.Rendezvous(uint64(self), h.Number))
 	}
 }
 
-// keep enters a host among the neighbours if it weighs enough.
-func (c *candidates) keep(h *blackboard.Host, weight uint64) {
+// keepNeighbour makes a host a neighbour if its weight is high enough.
+func (c *candidates) keepNeighbour(h *blackboard.Host, weight uint64) {
 	if c.n < neighbours {
 		c.kept[c.n], c.weight[c.n] = *h, weight
 		c.n++
@@ -107,30 +105,30 @@
 
 // pick returns one of the hosts.
 func (c *candidates) pick() blackboard.Host {
-	if c.n > 0 && rand.IntN(strangerIn) > 0 {
+	if c.n > 0 && rand.IntN(strangerInterval) > 0 {
 		return c.kept[rand.IntN(c.n)]
 	}
-	for i := range draws {
-		if c.sound[i] {
-			return c.any[i]
+	for i := range sampleSize {
+		if c.healthy[i] {
+			return c.sampled[i]
 		}
 	}
-	return c.any[draws-1]
+	return c.sampled[sampleSize-1]
 }
 
-// draw draws hosts of each scope in one pass over the table.
-func (r *Router) draw(now time.Time) (drawn [scopes]candidates) {
+// sampleScopes samples hosts of each scope in one pass over the table.
+func (r *Router) sampleScopes(now time.Time) (samples [scopes]candidates) {
 	self := r.board.Hosts.Self()
 	r.board.Hosts.Each(now, func(h *blackboard.Host, live bool) {
 		switch {
 		case h.Number == self.Number || h.Peers == "":
 		case h.Domain == self.Domain:
-			drawn[scopeNear].add(self.Number, h, live)
+			samples[scopeNear].add(self.Number, h, live)
 		case h.Region == self.Region:
-			drawn[scopeRegion].add(self.Number, h, live)
+			samples[scopeRegion].add(self.Number, h, live)
 		default:
-			drawn[scopeFar].add(self.Number, h, live)
+			samples[scopeFar].add(self.Number, h, live)
 		}
 	})
-	return drawn
+	return samples
 }
--- a/peer/pool.go
+++ b/peer/pool.go
@@ -17,121 +17,122 @@
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
 // ErrOutOfReach is returned when a host didn't answer in time.
-var ErrOutOfReach = errors.New("host is out of reach")
+var ErrOutOfReach = errors.New("host is unreachable")
 
-// pool keeps connections to peers, one to each at the most.
+// pool keeps connections to peers, at most one per peer.
 type pool struct {
 	dial    Dial
 	traffic *meter.Traffic
-	spent   *meter.Ledger
+	ledger  *meter.Ledger
 
-	mu    sync.Mutex
-	conns map[string]*rpc.Client
-	peers map[string]*contact
-	shut  bool
+	mu     sync.Mutex
+	conns  map[string]*rpc.Client
+	states map[string]*peerState
+	closed bool
 }
 
-// contact is what was seen of one peer.
-type contact struct {
-	heard  time.Time    // when it last answered
-	missed int          // calls since then that it didn't answer in time
-	read   atomic.Int64 // when a byte last came from it, in nanoseconds since 1970
-	opened time.Time    // when the connection that is kept was opened; of no meaning where none is
-	calls  int          // under way
-	used   time.Time    // when a call last began or ended
+// peerState records what was observed of one peer.
+type peerState struct {
+	lastAnswer  time.Time    // when it last answered
+	unanswered  int          // calls in a row since then that timed out
+	lastRead    atomic.Int64 // when a byte last arrived from it, as Unix time in nanoseconds
+	opened      time.Time    // when the current connection was opened; meaningless without one
+	activeCalls int          // in progress
+	lastUsed    time.Time    // when a call last began or ended
 }
 
-// deadAfter is how many calls in a row a peer must leave unanswered until its
-// connection is given up and it is doubted. A lost packet delays one answer
-// beyond the timeout; the next one comes.
+// deadAfter is how many calls to a peer in a row must time out before its connection is closed
+// and the peer becomes unconfirmed. One isn't enough: a lost packet delays a single answer beyond
+// the timeout, and the next answer arrives.
 const deadAfter = 2
 
-func newPool(dial Dial, t *meter.Traffic, spent *meter.Ledger) *pool {
+func newPool(dial Dial, t *meter.Traffic, ledger *meter.Ledger) *pool {
 	if dial == nil {
 		dial = (&net.Dialer{}).DialContext
 	}
-	return &pool{dial: dial, traffic: t, spent: spent, conns: map[string]*rpc.Client{}, peers: map[string]*contact{}}
+	return &pool{dial: dial, traffic: t, ledger: ledger, conns: map[string]*rpc.Client{}, states: map[string]*peerState{}}
 }
 
-// of returns what was seen of a peer; the caller holds the lock.
-func (p *pool) of(addr string) *contact {
-	c := p.peers[addr]
+// stateOf returns the state of a peer. The caller holds the lock.
+func (p *pool) stateOf(addr string) *peerState {
+	c := p.states[addr]
 	if c == nil {
-		c = new(contact)
-		p.peers[addr] = c
+		c = new(peerState)
+		p.states[addr] = c
 	}
 	return c
 }
 
-// hears notes that a peer has just answered.
-func (p *pool) hears(addr string) {
+// noteAnswer records that a peer has just answered.
+func (p *pool) noteAnswer(addr string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c := p.of(addr)
-	c.heard, c.missed = time.Now(), 0
+	c := p.stateOf(addr)
+	c.lastAnswer, c.unanswered = time.Now(), 0
 }
 
-// misses notes that a peer has left a call unanswered, and reports whether its
-// connection should be given up.
-func (p *pool) misses(addr string) bool {
+// noteTimeout records that a call to a peer timed out, and reports whether its connection should
+// be closed.
+func (p *pool) noteTimeout(addr string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c := p.of(addr)
-	c.missed++
-	return c.missed%deadAfter == 0
+	c := p.stateOf(addr)
+	c.unanswered++
+	return c.unanswered%deadAfter == 0
 }
 
-// dead reports whether a peer has left several calls in a row unanswered.
+// dead reports whether deadAfter or more calls to a peer in a row have timed out.
 func (p *pool) dead(addr string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.of(addr).missed >= deadAfter
+	return p.stateOf(addr).unanswered >= deadAfter
 }
 
-// heardWithin reports whether a peer has answered within d.
-func (p *pool) heardWithin(addr string, d time.Duration) bool {
+// answeredWithin reports whether a peer has answered within d.
+func (p *pool) answeredWithin(addr string, d time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c, known := p.peers[addr]
-	return known && time.Since(c.heard) < d
+	c, known := p.states[addr]
+	return known && time.Since(c.lastAnswer) < d
 }
 
-// readWithin reports whether a byte has come from a peer within d, be it of an
-// answer that is not yet whole, which heardWithin doesn't see.
+// readWithin reports whether a byte has arrived from a peer within d. Unlike answeredWithin it
+// also counts bytes of an incomplete answer.
 func (p *pool) readWithin(addr string, d time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c, known := p.peers[addr]
-	return known && time.Since(time.Unix(0, c.read.Load())) < d
+	c, known := p.states[addr]
+	return known && time.Since(time.Unix(0, c.lastRead.Load())) < d
 }
 
-// mostKept is how many connections are kept of those without a call. In time a host
-// exchanges with each other host, and each connection takes tens of kilobytes at both ends.
-const mostKept = 64
+// maxKeptConns is how many connections are kept open; beyond that, idle ones are closed. Over
+// time a host exchanges with every other host, and each connection takes tens of kilobytes at
+// both ends.
+const maxKeptConns = 64
 
-// begin notes that a call to a peer begins; the caller calls end after it.
-func (p *pool) begin(addr string) (end func()) {
+// beginCall records that a call to a peer begins. The caller must call end after it.
+func (p *pool) beginCall(addr string) (end func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c := p.of(addr)
-	c.calls++
-	c.used = time.Now()
-	return func() { p.ended(c) }
+	c := p.stateOf(addr)
+	c.activeCalls++
+	c.lastUsed = time.Now()
+	return func() { p.endCall(c) }
 }
 
-// ended notes that a call has ended, and closes the connection that was without a call for
-// longest if too many are kept.
-func (p *pool) ended(c *contact) {
+// endCall records that a call has ended. If too many connections are open, it closes the one idle
+// for longest.
+func (p *pool) endCall(c *peerState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c.calls--
-	c.used = time.Now()
-	if len(p.conns) <= mostKept {
+	c.activeCalls--
+	c.lastUsed = time.Now()
+	if len(p.conns) <= maxKeptConns {
 		return
 	}
 	var idle string
 	for addr := range p.conns {
-		if c := p.of(addr); c.calls == 0 && (idle == "" || c.used.Before(p.of(idle).used)) {
+		if c := p.stateOf(addr); c.activeCalls == 0 && (idle == "" || c.lastUsed.Before(p.stateOf(idle).lastUsed)) {
 			idle = addr
 		}
 	}
@@ -155,37 +156,36 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c = newClient(&notedConn{countedConn: counted(conn, p.traffic), read: &p.of(addr).read}, p.spent)
-	if old := p.conns[addr]; old != nil || p.shut {
+	c = newClient(&trackedConn{countedConn: counted(conn, p.traffic), lastRead: &p.stateOf(addr).lastRead}, p.ledger)
+	if old := p.conns[addr]; old != nil || p.closed {
 		c.Close()
 		if old == nil {
 			return nil, ErrOutOfReach
 		}
 		return old, nil
 	}
-	p.conns[addr], p.of(addr).opened = c, time.Now()
+	p.conns[addr], p.stateOf(addr).opened = c, time.Now()
 	return c, nil
 }
 
-// size returns how many connections are kept.
+// size returns the number of open connections.
 func (p *pool) size() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.conns)
 }
 
-// openFor returns for how long the connection to a peer has been open, and whether there
-// is one.
-func (p *pool) openFor(addr string) (d time.Duration, kept bool) {
+// openFor returns for how long the connection to a peer has been open, and whether there is one.
+func (p *pool) openFor(addr string) (d time.Duration, exists bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.conns[addr] == nil {
 		return 0, false
 	}
-	return time.Since(p.of(addr).opened), true
+	return time.Since(p.stateOf(addr).opened), true
 }
 
-// drop closes a connection that hung or broke.
+// drop closes a connection that hangs or is broken.
 func (p *pool) drop(addr string, c *rpc.Client) {
 	p.mu.Lock()
 	if p.conns[addr] == c {
@@ -195,8 +195,8 @@
 	c.Close()
 }
 
-// giveUp closes the connection that is kept to a peer.
-func (p *pool) giveUp(addr string) {
+// closeConn closes the current connection to a peer, if any.
+func (p *pool) closeConn(addr string) {
 	p.mu.Lock()
 	c := p.conns[addr]
 	p.mu.Unlock()
@@ -205,13 +205,13 @@
 	}
 }
 
-// call makes one call, bounded by the timeout. A connection that was broken
-// before the call is opened anew once; all methods may be repeated, since
-// their effect is keyed by attempt.
+// call makes one call, bounded by the timeout. If the connection turns out to be broken, it
+// retries once over a new one. That is safe for all methods, since their effects are keyed by
+// attempt.
 func (p *pool) call(ctx context.Context, addr, method string, args, reply any, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	defer p.begin(addr)()
+	defer p.beginCall(addr)()
 	for try := 0; ; try++ {
 		c, err := p.get(ctx, addr)
 		if err != nil {
@@ -223,7 +223,7 @@
 		case <-call.Done:
 			var remote rpc.ServerError
 			if call.Error == nil || errors.As(call.Error, &remote) {
-				p.hears(addr)
+				p.noteAnswer(addr)
 				return call.Error
 			}
 			p.drop(addr, c)
@@ -233,7 +233,7 @@
 			return errors.Wrap(call.Error, "peer")
 		case <-ctx.Done():
 			if errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
-				if p.misses(addr) {
+				if p.noteTimeout(addr) {
 					p.drop(addr, c)
 				}
 				return ErrOutOfReach
@@ -243,20 +243,19 @@
 	}
 }
 
-// callAnew makes one call over a new connection. If that is answered it takes the
-// place of the one that is kept, which has said nothing meanwhile: open connections
-// may go silent for good while new ones work.
-func (p *pool) callAnew(ctx context.Context, addr, method string, args, reply any, timeout time.Duration) error {
+// callOnNewConn makes one call over a new connection. If it is answered, the new connection
+// replaces the current one: open connections may go silent for good while new ones work.
+func (p *pool) callOnNewConn(ctx context.Context, addr, method string, args, reply any, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	defer p.begin(addr)()
+	defer p.beginCall(addr)()
 	conn, err := p.dial(ctx, "tcp", addr)
 	if err != nil {
 		return errors.Wrap(err, "peer")
 	}
 	p.mu.Lock()
 	old := p.conns[addr]
-	c := newClient(&notedConn{countedConn: counted(conn, p.traffic), read: &p.of(addr).read}, p.spent)
+	c := newClient(&trackedConn{countedConn: counted(conn, p.traffic), lastRead: &p.stateOf(addr).lastRead}, p.ledger)
 	p.mu.Unlock()
 	p.traffic.Calls.Add(1)
 	call := c.Go(method, args, reply, make(chan *rpc.Call, 1))
@@ -267,7 +266,7 @@
 			return errors.Wrap(call.Error, "peer")
 		}
 		p.replace(addr, old, c)
-		p.hears(addr)
+		p.noteAnswer(addr)
 		return nil
 	case <-ctx.Done():
 		c.Close()
@@ -275,29 +274,29 @@
 	}
 }
 
-// replace keeps a connection instead of another, unless that has been replaced.
+// replace replaces a peer's connection, unless another call has already replaced it.
 func (p *pool) replace(addr string, old, c *rpc.Client) {
 	p.mu.Lock()
-	if p.conns[addr] != old || p.shut {
+	if p.conns[addr] != old || p.closed {
 		p.mu.Unlock()
 		c.Close()
 		return
 	}
-	p.conns[addr], p.of(addr).opened = c, time.Now()
+	p.conns[addr], p.stateOf(addr).opened = c, time.Now()
 	p.mu.Unlock()
 	if old != nil {
 		time.AfterFunc(retireAfter, func() { old.Close() })
 	}
 }
 
-// retireAfter is how long a connection is left open that another has replaced: calls
-// may still be answered on it, and a request waits for its turn for a second or so.
+// retireAfter is how long a replaced connection stays open. Calls may still be answered on it,
+// and a request may wait about a second for admission.
 const retireAfter = 2 * time.Second
 
 func (p *pool) close() {
 	p.mu.Lock()
 	conns := p.conns
-	p.conns, p.shut = map[string]*rpc.Client{}, true
+	p.conns, p.closed = map[string]*rpc.Client{}, true
 	p.mu.Unlock()
 	for _, c := range conns {
 		c.Close()
--- a/peer/pool_test.go
+++ b/peer/pool_test.go
@@ -20,36 +20,35 @@
 	"github.com/embercove/embercove/owner"
 )
 
-// slowHost answers pings late: by the delays in turn, the last one again and
-// again.
+// slowHost answers pings with the given delays, one after the other. The last delay repeats.
 type slowHost struct {
 	delays []time.Duration
 	asked  atomic.Int32
 }
 
-// Ping is the method of a host that is asked for a sign of life.
-func (s *slowHost) Ping(_ *Nothing, _ *Beat) error {
+// Ping answers after the next delay.
+func (s *slowHost) Ping(_ *Nothing, _ *Heartbeat) error {
 	i := int(s.asked.Add(1)) - 1
 	time.Sleep(s.delays[min(i, len(s.delays)-1)])
 	return nil
 }
 
-// TestPool states how calls end whose answers are late, and how often the peer
-// is dialled: a connection is given up only when it seems to be dead.
+// TestPool checks how calls with late answers end, and how often the peer is dialled: a
+// connection is closed only after several unanswered calls in a row.
 func TestPool(t *testing.T) {
 	const limit = 150 * time.Millisecond
 	late, never := 2*limit, time.Hour
 	cases := []struct {
 		name   string
 		delays []time.Duration
-		calls  string // how each ends: + answered, - out of reach
+		calls  string // results: + answered, - timed out
 		dials  int
 	}{
 		{"prompt", []time.Duration{0}, "+++", 1},
 		{"one answer is late, as after a lost packet", []time.Duration{0, late, 0}, "+-++", 1},
 		{"two are late", []time.Duration{late, late, 0}, "--+", 2},
-		{"late, but not one after the other", []time.Duration{late, 0, late, 0}, "-+-+", 1},
-		{"nothing is ever answered", []time.Duration{never}, "----", 2},
+		{"late, but not in a row", []time.Duration{late, 0, late, 0}, "-+-+", 1},
+		{"never an answer", []time.Duration{never}, "----", 2},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -68,7 +67,7 @@
 				}, new(meter.Traffic), new(meter.Ledger))
 				got := ""
 				for range tc.calls {
-					err := p.call(context.Background(), "h", methodPing, &Nothing{}, new(Beat), limit)
+					err := p.call(context.Background(), "h", methodPing, &Nothing{}, new(Heartbeat), limit)
 					switch {
 					case err == nil:
 						got += "+"
@@ -88,12 +87,11 @@
 	}
 }
 
-// queueHost keeps a call waiting as an owner does, and answers signs of life
-// until it falls silent.
+// queueHost keeps a call waiting as an owner does. It answers pings unless silent is set.
 type queueHost struct{ silent time.Duration }
 
-// Ping is the method of a host that is asked for a sign of life.
-func (q *queueHost) Ping(_ *Nothing, _ *Beat) error {
+// Ping answers at once, or after an hour if silent is set.
+func (q *queueHost) Ping(_ *Nothing, _ *Heartbeat) error {
 	if q.silent > 0 {
 		time.Sleep(time.Hour)
 	}
@@ -106,8 +104,8 @@
 	return nil
 }
 
-// TestCallWatched checks that a call which waits long is not mistaken for one
-// whose host says nothing, and that the latter is found out soon.
+// TestCallWatched checks that a call that waits long isn't mistaken for one to a host that
+// doesn't respond, and that the latter is detected soon.
 func TestCallWatched(t *testing.T) {
 	for _, silent := range []time.Duration{0, time.Second} {
 		t.Run(silent.String(), func(t *testing.T) {
@@ -132,7 +130,7 @@
 				case silent == 0 && (err != nil || took < 2*time.Second):
 					t.Errorf("%v after %s, want an answer after two seconds", err, took)
 				case silent > 0 && (!errors.Is(err, ErrOutOfReach) || took > time.Second):
-					t.Errorf("%v after %s, want out of reach within a second", err, took)
+					t.Errorf("%v after %s, want a timeout within a second", err, took)
 				}
 				r.Close()
 				time.Sleep(3 * time.Hour)
@@ -141,19 +139,19 @@
 	}
 }
 
-// TestWriteLimit checks that a large answer may take long as long as it is taken,
-// and that a peer which takes nothing is given up.
+// TestWriteLimit checks that writing a large answer may take long as long as the reader makes
+// progress, and that a write to a peer that stops reading fails.
 func TestWriteLimit(t *testing.T) {
 	const size = 1 << 20
 	cases := []struct {
 		name   string
-		pause  time.Duration // of the reader, after each piece
-		pieces int           // that it takes; 0: all
+		pause  time.Duration // of the reader, after each chunk
+		pieces int           // that the reader reads; 0: all
 		ok     bool
 	}{
 		{"a fast reader", 0, 0, true},
 		{"a slow reader", 200 * time.Millisecond, 0, true},
-		{"one that stops", 0, 10, false},
+		{"a reader that stops", 0, 10, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -162,7 +160,7 @@
 				got, end := 0, make(chan struct{})
 				go func() {
 					defer close(end)
-					buf := make([]byte, writePiece)
+					buf := make([]byte, writeChunkBytes)
 					for i := 0; tc.pieces == 0 || i < tc.pieces; i++ {
 						n, err := far.Read(buf)
 						got += n
@@ -180,17 +178,17 @@
 				if ok := err == nil; ok != tc.ok || ok && n != size || n != got {
 					t.Errorf("%d bytes written, %d read, in %s: %v", n, got, took, err)
 				}
-				if !tc.ok && took > writeLimit {
-					t.Errorf("given up after %s", took)
+				if !tc.ok && took > chunkWriteTimeout {
+					t.Errorf("the write failed after %s", took)
 				}
 			})
 		})
 	}
 }
 
-// TestPoolKeepsFew has a host call hundreds of others in turn, as exchanges with strangers do
-// in time, while one call takes long. Connections that nobody uses must not be kept for each:
-// 585 hosts held 119 MB at the most, and more the longer they ran.
+// TestPoolKeepsFew has a host call hundreds of others in turn, as exchanges with random hosts do
+// over time, while one call takes long. It guards against keeping an idle connection to every
+// host: with 585 hosts they took up to 119 MB, more the longer the hosts ran.
 func TestPoolKeepsFew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const others = 400
@@ -210,7 +208,7 @@
 		}
 		p := newPool(dial, new(meter.Traffic), new(meter.Ledger))
 		ping := func(i int, limit time.Duration) error {
-			return p.call(context.Background(), fmt.Sprintf("10.0.%d.%d:1", i/250, i%250), methodPing, &Nothing{}, new(Beat), limit)
+			return p.call(context.Background(), fmt.Sprintf("10.0.%d.%d:1", i/250, i%250), methodPing, &Nothing{}, new(Heartbeat), limit)
 		}
 		slow := make(chan error)
 		go func() { slow <- ping(0, time.Hour) }()
@@ -222,19 +220,19 @@
 			time.Sleep(time.Millisecond)
 		}
 		synctest.Wait()
-		if n := open.Load(); n > mostKept+1 {
-			t.Errorf("%d connections are open after calls to %d hosts, want %d at the most", n, others, mostKept+1)
+		if n := open.Load(); n > maxKeptConns+1 {
+			t.Errorf("%d connections are open after calls to %d hosts, want at most %d", n, others, maxKeptConns+1)
 		}
 		if err := <-slow; err != nil {
-			t.Errorf("the call that was under way ended with %v", err)
+			t.Errorf("the running call ended with %v", err)
 		}
 		if err := ping(1, time.Second); err != nil {
-			t.Errorf("a host whose connection was closed: %v", err)
+			t.Errorf("call to a host whose connection was closed: %v", err)
 		}
 		p.close()
 		synctest.Wait()
 		if n := open.Load(); n > 0 {
-			t.Errorf("%d connections are left open", n)
+			t.Errorf("%d connections are still open", n)
 		}
 	})
 }
--- a/peer/probe.go
+++ b/peer/probe.go
@@ -7,41 +7,40 @@
 	"github.com/embercove/embercove/blackboard"
 )
 
-// probeEvery is how often a host of a failure domain that counts as cut off is
-// asked for a sign of life.
-const probeEvery = 500 * time.Millisecond
+// recoveryCheckInterval is how often a host of a failure domain that counts as cut off is pinged.
+const recoveryCheckInterval = 500 * time.Millisecond
 
-// mostProbes is how many doubted hosts are asked at once.
-const mostProbes = 8
+// maxRecoveryChecks is how many unconfirmed hosts are pinged at once.
+const maxRecoveryChecks = 8
 
-// Prober returns the controller that finds out when a cut is healed or a doubted
-// host answers again, so that no request has to. Until then another host stands in
-// for it here, and only here: both keep books of the same endpoints and ask these
-// for their reports.
+// Prober returns the controller that detects when a partition has healed or an unconfirmed host
+// answers again, so that no request has to find out. Until then another host stands in for the
+// unconfirmed one, but only as seen by this host. Both then run schedulers for the same endpoints
+// and poll them for reports.
 func (r *Router) Prober() blackboard.Controller {
-	return blackboard.Every(probeEvery, func(ctx context.Context) {
-		for _, h := range r.doubted(time.Now()) {
-			go r.probe(ctx, h)
+	return blackboard.Every(recoveryCheckInterval, func(ctx context.Context) {
+		for _, h := range r.unconfirmedHosts(time.Now()) {
+			go r.checkRecovery(ctx, h)
 		}
 		for _, domain := range r.board.Domains.Lost() {
 			if h, ok := r.anyOf(domain); ok {
-				go r.probe(ctx, h)
+				go r.checkRecovery(ctx, h)
 			}
 		}
 	})
 }
 
-// doubted returns some of the doubted hosts that aren't known to be gone.
-func (r *Router) doubted(now time.Time) (out []blackboard.Host) {
+// unconfirmedHosts returns some of the unconfirmed hosts that aren't known to be gone.
+func (r *Router) unconfirmedHosts(now time.Time) (out []blackboard.Host) {
 	r.board.Hosts.Each(now, func(h *blackboard.Host, live bool) {
-		if live && h.Doubted && h.Peers != "" && len(out) < mostProbes {
+		if live && h.Doubted && h.Peers != "" && len(out) < maxRecoveryChecks {
 			out = append(out, *h)
 		}
 	})
 	return out
 }
 
-// anyOf returns some host of a domain.
+// anyOf returns a random host of a domain.
 func (r *Router) anyOf(domain string) (blackboard.Host, bool) {
 	var c candidates
 	r.board.Hosts.Each(time.Now(), func(h *blackboard.Host, _ bool) {
@@ -49,15 +48,15 @@
 			c.add(r.board.Number, h, true)
 		}
 	})
-	return c.any[0], c.seen > 0
+	return c.sampled[0], c.seen > 0
 }
 
-func (r *Router) probe(ctx context.Context, h blackboard.Host) {
-	err := r.pool.call(ctx, h.Peers, methodPing, &Nothing{}, new(Beat), r.timeout())
+func (r *Router) checkRecovery(ctx context.Context, h blackboard.Host) {
+	err := r.pool.call(ctx, h.Peers, methodPing, &Nothing{}, new(Heartbeat), r.timeout())
 	switch {
 	case err == nil:
-		r.heard(h)
-	case silent(err) && ctx.Err() == nil:
-		r.unheard(h)
+		r.noteAnswered(h)
+	case isTimeout(err) && ctx.Err() == nil:
+		r.noteSilent(h)
 	}
 }
--- a/peer/quota.go
+++ b/peer/quota.go
@@ -10,47 +10,46 @@
 	"github.com/embercove/embercove/quota"
 )
 
-// A team's limit is held by one host of each failure domain, by rendezvous hash as
-// endpoints are owned. Holders tell each other what they have let in.
+// In each failure domain one host holds a team's limit. It is chosen by rendezvous hash, like the
+// owners of endpoints. Holders report to each other how much they have admitted.
 
-// DrawArgs asks a holder to let a team's request in.
+// DrawArgs asks a holder to admit a team's request.
 type DrawArgs struct {
 	Team  uint32
-	Units float64 // below 0: given back, for requests that didn't run
+	Units float64 // negative: a refund for requests that didn't run
 }
 
 // DrawReply is the holder's answer.
 type DrawReply struct {
-	Known  bool // the holder's revision has the team
+	Known  bool // the team exists in the holder's revision
 	Answer quota.Answer
 }
 
-// holderKey makes the holders of teams other hosts than those of their names' other
-// numbers.
-const holderKey = 0x71756f7461 << 24
+// teamKeyBase separates the keys of teams from the other numbers that are derived from names.
+const teamKeyBase = 0x71756f7461 << 24
 
-// holderGroups is into how many groups teams fall whose limits one host holds, so that
-// what holders tell each other of many teams goes in one message.
+// holderGroups is the number of groups that teams are hashed to. One host holds the limits of a
+// whole group, so that holders can report many teams in one message.
 const holderGroups = 64
 
-// keyOf returns the key by whose rendezvous hash a team's holders are chosen.
-func keyOf(team uint32) uint64 { return holderKey ^ uint64(team%holderGroups) }
+// teamKey returns the rendezvous key for a team's holders.
+func teamKey(team uint32) uint64 { return teamKeyBase ^ uint64(team%holderGroups) }
 
-// aloneBelow is the part of its failure domain's hosts that a host must have in reach
-// to hold a limit for the domain. A host that is cut off from most others would
-// otherwise take itself for the holder of each team.
-const aloneBelow = 0.5
+// minReachableShare is the share of its failure domain's hosts that a host must reach to hold a
+// limit for the domain. Otherwise a host that is cut off from most others would consider itself
+// the holder of every team.
+const minReachableShare = 0.5
 
-// settledFor is how long the hosts of a failure domain must have been the same for a
-// limit that begins to be held to have been held by nobody before: the longest window in
-// which limits are judged, and some time in which hosts notice each other.
-const settledFor = 12 * time.Second
+// stableFor is how long the membership of a failure domain must have been unchanged before a new
+// holder may assume that nobody held the limit before it: the longest window over which limits
+// are enforced, plus time for hosts to notice each other.
+const stableFor = 12 * time.Second
 
-// metNobody is the part of the fleet that a host takes itself for that knows of seeds
-// and has met no other host yet.
-const metNobody = 1.0 / 32
+// noPeersShare is the share of the fleet that a host assumes to be if it has seeds but hasn't met
+// another host yet.
+const noPeersShare = 1.0 / 32
 
-// teamOf returns a team with its limit under the revision in force.
+// teamOf returns a team with its limit in the current revision.
 func (r *Router) teamOf(number uint32) (t quota.Team, known bool) {
 	v := r.board.Config.View()
 	if v == nil {
@@ -60,28 +59,28 @@
 	if team == nil || team.Quota.Rate == 0 {
 		return t, false
 	}
-	return r.limited(team), true
+	return r.quotaTeam(team), true
 }
 
-// spareTolerance is the part of the tolerance that quotas are judged with which is let
-// in beyond the burst. The rest is for holders that don't know of each other.
+// spareTolerance is the share of the quota tolerance that may be admitted beyond the burst. The
+// rest is reserved for holders that don't know of each other.
 const spareTolerance = 0.5
 
-func (r *Router) limited(t *config.Team) quota.Team {
+func (r *Router) quotaTeam(t *config.Team) quota.Team {
 	spare := spareTolerance * r.board.Settings.QuotaTolerance
 	return quota.Team{Number: config.NameNumber(t.Name), Limit: quota.Limit{Rate: t.Quota.Rate, Burst: t.Quota.Burst, Spare: spare}}
 }
 
-// reach returns what this host has in reach as the holder of a team's limit. Failure
-// domains without any host don't count, unless no host of another one is known at all.
+// reach describes what this host can reach as the holder of a team's limit. Failure domains
+// without hosts don't count, unless no host of any other domain is known.
 func (r *Router) reach(now time.Time, team uint32) quota.Reach {
 	c := r.board.Hosts.Census(now)
-	out := quota.Reach{Part: c.Part, Settled: now.Sub(c.Changed) > settledFor && r.firstSteady(team, now)}
+	out := quota.Reach{Part: c.Part, Settled: now.Sub(c.Changed) > stableFor && r.isStableHolder(team, now)}
 	out.Domains = r.otherDomains(c)
 	return out
 }
 
-// otherDomains returns the failure domains beside the own one that have hosts.
+// otherDomains returns the other failure domains that have hosts.
 func (r *Router) otherDomains(c blackboard.Census) (names []string) {
 	v := r.board.Config.View()
 	if v == nil {
@@ -95,21 +94,21 @@
 	return names
 }
 
-// firstSteady reports whether this host holds a team's limit whatever it doubts. One
-// that stands in for another can't know what that one has let in.
-func (r *Router) firstSteady(team uint32, now time.Time) bool {
-	h, ok := r.board.Hosts.FirstSteady(keyOf(team), r.board.Settings.Domain, now)
+// isStableHolder reports whether this host holds a team's limit even with unconfirmed hosts counted. A
+// host that stands in for another can't know what that one has admitted.
+func (r *Router) isStableHolder(team uint32, now time.Time) bool {
+	h, ok := r.board.Hosts.FirstSteady(teamKey(team), r.board.Settings.Domain, now)
 	return ok && h.Number == r.board.Number
 }
 
-// Draw asks for a team's request of n units to be let in, by the team's holder, the one
-// that stands in for it or, if both are out of reach, by this host's own part of the
-// limit. Without the second, all hosts let a request in by themselves as a holder is
-// lost, and together more than the quota allows.
+// Draw asks for n units of a team's quota for a request. It asks the team's holder, then the host
+// that stands in for it, and if both are unreachable it uses this host's own share of the limit.
+// Without the second step, all hosts would admit requests by themselves whenever a holder is
+// lost, together more than the quota allows.
 func (r *Router) Draw(ctx context.Context, t *config.Team, n float64) quota.Answer {
-	team, now := r.limited(t), time.Now()
+	team, now := r.quotaTeam(t), time.Now()
 	c := r.board.Hosts.Census(now)
-	if c.Part >= aloneBelow && !r.unmet(c) {
+	if c.Part >= minReachableShare && !r.metNobody(c) {
 		for _, h := range r.holders(team.Number, now) {
 			if a, ok := r.drawFrom(ctx, h, team, n); ok {
 				r.board.Quotas.Passed(time.Now(), team.Number, n, a)
@@ -117,31 +116,31 @@
 			}
 		}
 	}
-	return r.board.Quotas.Alone(time.Now(), team, n, r.evenPart(c))
+	return r.board.Quotas.Alone(time.Now(), team, n, r.evenShare(c))
 }
 
-// evenPart returns this host's even part of the fleet.
-func (r *Router) evenPart(c blackboard.Census) float64 {
-	if r.unmet(c) {
-		return metNobody
+// evenShare returns this host's share of the fleet if all hosts count the same.
+func (r *Router) evenShare(c blackboard.Census) float64 {
+	if r.metNobody(c) {
+		return noPeersShare
 	}
 	return 1 / float64(c.Hosts)
 }
 
-// mostHolders is how many hosts are asked to let one request in. An ask that fails takes
-// half of the time for a call.
-const mostHolders = 2
+// maxHolders is how many hosts are asked to admit a request. Each failing call takes half of the
+// call timeout.
+const maxHolders = 2
 
-// holders returns the host that holds a team's limit in the own failure domain and those
-// that stand in for it, none of whom is doubted.
+// holders returns the host that holds a team's limit in the own failure domain and those that
+// stand in for it, without unconfirmed hosts.
 func (r *Router) holders(team uint32, now time.Time) []blackboard.Host {
-	order := r.board.Hosts.Order(keyOf(team), r.board.Settings.Domain, now)
+	order := r.board.Hosts.Order(teamKey(team), r.board.Settings.Domain, now)
 	order = slices.DeleteFunc(order, func(h blackboard.Host) bool { return h.Doubted })
-	return order[:min(mostHolders, len(order))]
+	return order[:min(maxHolders, len(order))]
 }
 
-// unmet reports whether this host has met no other though it should.
-func (r *Router) unmet(c blackboard.Census) bool {
+// metNobody reports whether this host has seeds but hasn't met another host yet.
+func (r *Router) metNobody(c blackboard.Census) bool {
 	if c.Hosts > 1 {
 		return false
 	}
@@ -163,15 +162,15 @@
 		return r.board.Quotas.Ask(now, t, n, r.reach(now, t.Number)), true
 	}
 	var reply DrawReply
-	err := r.fail(ctx, h, r.pool.call(ctx, h.Peers, methodDraw, &DrawArgs{Team: t.Number, Units: n}, &reply, r.timeout()/mostHolders))
+	err := r.noteOutcome(ctx, h, r.pool.call(ctx, h.Peers, methodDraw, &DrawArgs{Team: t.Number, Units: n}, &reply, r.timeout()/maxHolders))
 	return reply.Answer, err == nil && reply.Known
 }
 
-// GiveBack returns to a team's holder what was let in for a request that didn't run. It
-// doesn't wait, and what is lost on the way stays charged.
+// GiveBack refunds to a team's holder the units of a request that didn't run. It doesn't wait,
+// and a refund that is lost stays charged.
 func (r *Router) GiveBack(t *config.Team, n float64) {
-	team, now := r.limited(t), time.Now()
-	h, ok := r.board.Hosts.First(keyOf(team.Number), r.board.Settings.Domain, now)
+	team, now := r.quotaTeam(t), time.Now()
+	h, ok := r.board.Hosts.First(teamKey(team.Number), r.board.Settings.Domain, now)
 	switch {
 	case !ok:
 	case h.Number == r.board.Number:
--- a/peer/quota_test.go
+++ b/peer/quota_test.go
@@ -33,8 +33,8 @@
 	return NewRouter(b, owner.New(b, endpoint.NewClient(nil), zap.NewNop()), nil, zap.NewNop())
 }
 
-// TestSettle tells each host of a failure domain what was let in in another. Only the
-// one that holds the team's limit answers, and those that are asked as if they did.
+// TestSettle reports to each host of a failure domain what another domain admitted. Only the host
+// that holds the team's limit may answer, and those that were called as if they held it.
 func TestSettle(t *testing.T) {
 	red, free := config.NameNumber("red"), config.NameNumber("free")
 	args := &SettleArgs{Domain: "e", Rows: []SettleRow{{Team: red, Word: quota.Word{Holder: 9}}, {Team: free}, {Team: 77}}}
@@ -56,16 +56,16 @@
 		}
 		reply = SettleReply{}
 		if err := s.Settle(args, &reply); err != nil || len(reply.Rows) != 1 || reply.Rows[0].Team != red {
-			t.Errorf("host %d, asked as if it held the limit, answers %+v, %v", i, reply, err)
+			t.Errorf("host %d, called as the holder, answers %+v, %v", i, reply, err)
 		}
 	}
 	if answered != 1 {
-		t.Errorf("%d of 12 hosts answered, want the holder alone", answered)
+		t.Errorf("%d of 12 hosts answered, want only the holder", answered)
 	}
 }
 
-// TestDrawUnknown asks a host for teams that have no quota by its revision, or that it
-// doesn't know: it doesn't decide, and opens no account.
+// TestDrawUnknown asks a host for teams that are unknown to it or have no quota in its revision.
+// It must neither decide nor open an account.
 func TestDrawUnknown(t *testing.T) {
 	r := quotaHost(t, "h0")
 	for _, team := range []uint32{config.NameNumber("free"), 77} {
--- a/peer/regions.go
+++ b/peer/regions.go
@@ -10,12 +10,12 @@
 	"github.com/embercove/embercove/route"
 )
 
-// What regions know of each other goes with the exchanges: hosts of other regions are told
-// of the own one, hosts of the own one of the others. A summary takes some 14 B, and there
-// is one for each pool of a region, so that three regions with two pools tell 28 B or 56 B
-// in an exchange. Where there is one region nothing is told.
+// Exchanges carry what regions know of each other: hosts of other regions get the summary of the
+// own region, and hosts of the own region those of the others. A summary takes about 14 B and
+// there is one per pool of a region, so with three regions of two pools an exchange carries 28 B
+// or 56 B. With a single region nothing is sent.
 
-// summaries returns the packed summaries for another host.
+// summaries returns the packed summaries for a host of the given region.
 func (r *Router) summaries(now time.Time, to string) []byte {
 	v := r.board.Config.View()
 	if v == nil || len(v.RegionNames) < 2 {
@@ -27,7 +27,7 @@
 	return packSummaries(r.ownSummaries(now))
 }
 
-// ownSummaries returns those of the own region, as this host sees it.
+// ownSummaries returns the summaries of the own region, as this host sees it.
 func (r *Router) ownSummaries(now time.Time) (out []region.Summary) {
 	name := r.board.Settings.Region
 	r.board.Endpoints.Read(func(fleet *route.Fleet) {
@@ -39,8 +39,8 @@
 	return out
 }
 
-// learnSummaries takes in what another host told of regions. What is told of the own one is
-// of no use here.
+// learnSummaries merges region summaries from another host. It ignores those of the own region,
+// which each host computes itself.
 func (r *Router) learnSummaries(src []byte, now time.Time) error {
 	rows, err := unpackSummaries(src)
 	own := config.NameNumber(r.board.Settings.Region)
@@ -52,8 +52,8 @@
 	return err
 }
 
-// noteTrip notes how long an exchange with a host of another region took.
-func (r *Router) noteTrip(h blackboard.Host, took time.Duration) {
+// noteRoundTrip records how long an exchange with a host of another region took.
+func (r *Router) noteRoundTrip(h blackboard.Host, took time.Duration) {
 	if h.Region != "" && h.Region != r.board.Settings.Region {
 		r.board.Regions.Took(config.NameNumber(h.Region), took)
 	}
@@ -71,20 +71,20 @@
 	return out
 }
 
-// mostMillis bounds times that are told, so that a damaged one doesn't overflow: an hour.
-const mostMillis = 3600_000
+// maxMillis bounds received values to an hour, so that damaged ones don't overflow.
+const maxMillis = 3600_000
 
-// unpackSummaries reads what packSummaries wrote.
+// unpackSummaries parses the output of packSummaries.
 func unpackSummaries(src []byte) ([]region.Summary, error) {
 	r := &reader{src: src}
 	var out []region.Summary
 	for len(r.src) > 0 {
 		s := region.Summary{Region: r.uint32(), Pool: r.uint32()}
-		s.Places = uint32(min(r.uvarint(), mostMillis))
-		s.WaitMillis = uint32(min(r.uvarint(), mostMillis) * packMillis)
-		s.AgeMillis = uint32(min(r.uvarint(), mostMillis) * packMillis)
+		s.Places = uint32(min(r.uvarint(), maxMillis))
+		s.WaitMillis = uint32(min(r.uvarint(), maxMillis) * packMillis)
+		s.AgeMillis = uint32(min(r.uvarint(), maxMillis) * packMillis)
 		if r.bad {
-			return out, errPacked
+			return out, errDamaged
 		}
 		out = append(out, s)
 	}
--- a/peer/regions_test.go
+++ b/peer/regions_test.go
@@ -23,7 +23,7 @@
 {"name": "p", "address": "127.0.0.1:1", "failure_domain": "a", "role": "prefill", "model": "m", "tokens_per_second": 1000},
 {"name": "d", "address": "127.0.0.1:2", "failure_domain": "a", "role": "decode", "model": "m", "memory_tokens": 1000, "slots": 10, "step_micros": 100, "link_bytes_per_second": 1000}]}`
 
-// regionsHost returns a host of a failure domain that knows a host of each other.
+// regionsHost returns a host of a failure domain that knows one host of each other domain.
 func regionsHost(t *testing.T, document, domain, name string) *Router {
 	t.Helper()
 	s := &config.Settings{Host: domain, Domain: domain, Region: name, Peers: "127.0.0.1:1"}
@@ -43,17 +43,17 @@
 	return NewRouter(b, owner.New(b, endpoint.NewClient(nil), zap.NewNop()), nil, zap.NewNop())
 }
 
-// TestSummaries has a host tell one of another region of its own, which tells that on in
-// its region and not back, and older news doesn't take the place of newer.
+// TestSummaries has a host send the summary of its region to a host of another region. That one
+// must forward it within its own region but not back, and must not replace newer data by older.
 func TestSummaries(t *testing.T) {
 	now := time.Now()
 	north, south := regionsHost(t, regionsDocument, "a", "north"), regionsHost(t, regionsDocument, "b", "south")
 	n, pool := config.NameNumber("north"), region.PoolNumber("", "m")
-	told := north.summaries(now, "south")
-	if len(told) == 0 || len(told) > 16 {
-		t.Fatalf("told %d B of one pool, want some and 16 at the most", len(told))
+	sent := north.summaries(now, "south")
+	if len(sent) == 0 || len(sent) > 16 {
+		t.Fatalf("the summary of one pool takes %d B, want 1 to 16", len(sent))
 	}
-	if err := south.learnSummaries(told, now); err != nil {
+	if err := south.learnSummaries(sent, now); err != nil {
 		t.Fatal(err)
 	}
 	row := south.board.Regions.Find(n, pool, now)
@@ -62,41 +62,41 @@
 	}
 	south.board.Regions.Learn(region.Summary{Region: n, Pool: pool, AgeMillis: 3000}, now)
 	if got := south.board.Regions.Find(n, pool, now); got.Places != row.Places {
-		t.Errorf("older news took the place of newer: %+v", got)
+		t.Errorf("older data replaced newer: %+v", got)
 	}
-	if on := south.summaries(now, "south"); len(on) != len(told) {
-		t.Errorf("tells %d B on in its region, want %d", len(on), len(told))
+	if relayed := south.summaries(now, "south"); len(relayed) != len(sent) {
+		t.Errorf("forwards %d B in its region, want %d", len(relayed), len(sent))
 	}
 	if back := south.summaries(now, "north"); len(back) != 0 {
-		t.Errorf("tells %d B of others to another region", len(back))
+		t.Errorf("sends %d B of other regions to another region", len(back))
 	}
 	if err := south.learnSummaries([]byte{1, 2, 3}, now); err == nil {
-		t.Error("damaged summaries were taken")
+		t.Error("damaged summaries were accepted")
 	}
 	later := now.Add(time.Minute)
-	if on := south.summaries(later, "south"); len(on) != 0 || south.board.Regions.Find(n, pool, later).Known {
-		t.Error("a summary is told on after a minute")
+	if relayed := south.summaries(later, "south"); len(relayed) != 0 || south.board.Regions.Find(n, pool, later).Known {
+		t.Error("a summary is still used after a minute")
 	}
 }
 
-// TestOneRegionTellsNothing checks that a deployment of one region sends no byte more.
+// TestOneRegionTellsNothing checks that a deployment with one region sends no region summaries.
 func TestOneRegionTellsNothing(t *testing.T) {
 	one := strings.NewReplacer(`"south"`, `"north"`, `"west"`, `"north"`).Replace(regionsDocument)
 	r := regionsHost(t, one, "a", "north")
 	r.board.Regions.Learn(region.Summary{Region: 7, Pool: 7, Places: 7}, time.Now())
 	for _, to := range []string{"north", "other"} {
-		if a := r.tell(telling{to: Name{Domain: "b", Region: to}}); a.Regions != nil {
-			t.Errorf("tells %d B of regions", len(a.Regions))
+		if a := r.buildExchange(sendOptions{to: HostIdentity{Domain: "b", Region: to}}); a.Regions != nil {
+			t.Errorf("sends %d B of region summaries", len(a.Regions))
 		}
 	}
 }
 
-// TestReachOfAllRegions checks that holders of a team's limit settle with those of other
-// regions: else each region lets the whole limit in.
+// TestReachOfAllRegions checks that the holders of a team's limit also report to those of other
+// regions. Otherwise each region would admit the whole limit.
 func TestReachOfAllRegions(t *testing.T) {
 	now := time.Now()
 	r := regionsHost(t, regionsDocument, "b", "south")
 	if got := r.reach(now, config.NameNumber("red")).Domains; !slices.Equal(got, []string{"a", "c"}) {
-		t.Errorf("settles with the holders in %v, want a and c, which lie in other regions", got)
+		t.Errorf("settles with the holders in %v, want a and c, which are in other regions", got)
 	}
 }
--- a/peer/releases.go
+++ b/peer/releases.go
@@ -9,11 +9,11 @@
 	"github.com/embercove/embercove/owner"
 )
 
-// flushEvery is how long releases to a peer are gathered.
-const flushEvery = 40 * time.Millisecond
+// flushInterval is how long releases to a peer are batched.
+const flushInterval = 40 * time.Millisecond
 
-// Release tells the endpoint's owner that an attempt has ended. It doesn't
-// wait; a release that is lost is made good by the endpoint's own list.
+// Release tells the endpoint's owner that an attempt has ended. It doesn't wait: if a release is
+// lost, the owner learns of the end from the endpoint's own list.
 func (r *Router) Release(spec *config.Endpoint, rel owner.Release) {
 	h, self, err := r.ownerOf(spec)
 	if err != nil {
@@ -31,8 +31,7 @@
 	}
 }
 
-// Flush sends the gathered releases. It is a controller of its own, every
-// flushEvery.
+// Flush sends the batched releases. It is run by a controller of its own, every flushInterval.
 func (r *Router) Flush(ctx context.Context) {
 	r.mu.Lock()
 	batch := r.releases
@@ -43,5 +42,5 @@
 	}
 }
 
-// Flusher returns the controller that sends gathered releases.
-func (r *Router) Flusher() blackboard.Controller { return blackboard.Every(flushEvery, r.Flush) }
+// Flusher returns the controller that sends batched releases.
+func (r *Router) Flusher() blackboard.Controller { return blackboard.Every(flushInterval, r.Flush) }
--- a/peer/router.go
+++ b/peer/router.go
@@ -19,54 +19,54 @@
 	"github.com/embercove/embercove/route"
 )
 
-// Router takes calls to whoever owns an endpoint or a key: this host itself
-// or a peer.
+// Router forwards calls to the owner of an endpoint or the holder of a key, which is this host
+// itself or a peer.
 type Router struct {
 	Traffic meter.Traffic // with other hosts
-	Spent   meter.Ledger  // the same by purpose
-	Fetches meter.Fetches // of what other hosts have and this one lacks
-	// Accepted is called with each revision that comes into force; it is
-	// set before the router is used, and may be nil.
+	Spent   meter.Ledger  // traffic by purpose
+	Fetches meter.Fetches // fetches of what this host lacked
+	// Accepted is called with each revision that takes effect. It may be nil, and is set before
+	// the router is used.
 	Accepted func(v *config.View)
-	// Emptied is called when other failure domains are being emptied than before; it is
-	// set before the router is used, or nil.
+	// Emptied is called when more failure domains are evacuated than before. It may be nil, and
+	// is set before the router is used.
 	Emptied func(v *config.View)
 
 	board *blackboard.Board
 	owner *owner.Owner
 	pool  *pool
-	bulk  *pool // of fetches, whose answers may be large
+	bulk  *pool // for fetches, whose answers may be large
 	log   *zap.Logger
 
-	layMu sync.Mutex // held while the tables are laid out; taken before all others
+	viewMu sync.Mutex // held while the tables are updated; taken before all other locks
 
 	fetcher fetcher
-	joins   joins
+	joins   joinExchanges
 	packer  packer
 
-	mu        sync.Mutex
-	releases  map[string][]owner.Release // by peer address
-	unknown   map[uint32]bool            // hosts to be introduced
-	listed    map[uint32]bool            // hosts on the platform's list
-	missed    map[uint32]int             // pings in a row that a watched host did not answer
-	hot       time.Time                  // until when news is told around
-	seeds     []string                   // nil: those of the settings
-	round     uint64
-	told      uint64    // exchanges made
-	size      int       // bytes of the last
-	differs   bool      // others named other members
-	askedAll  time.Time // when all heartbeats were last asked for
-	spreadAt  time.Time // when news was last told around, or will be
-	rosterAt  time.Time // the same of a roster
-	digestsAt time.Time // when digests were last told
-	domainAt  time.Time // when the own domain was last told what is in force here
-	marksAt   time.Time // when marks were last compared with another host's
+	mu              sync.Mutex
+	releases        map[string][]owner.Release // by peer address
+	unnamed         map[uint32]bool            // hosts known by number only
+	listed          map[uint32]bool            // hosts on the platform's list
+	missedPings     map[uint32]int             // pings in a row that a watched host didn't answer
+	announceUntil   time.Time                  // until when changes are announced again
+	seeds           []string                   // nil: the seeds of the settings
+	round           uint64
+	exchanges       uint64    // number of exchanges made
+	exchangeBytes   int       // bytes of the last exchange
+	membersDiffer   bool      // another host's members differ from this one's
+	allRequestedAt  time.Time // when all heartbeats were last requested
+	spreadAt        time.Time // when changes were last announced, or next will be
+	rosterSpreadAt  time.Time // the same for rosters
+	digestsSentAt   time.Time // when digests were last sent
+	standingSentAt  time.Time // when the own domain was last sent this host's revisions
+	marksComparedAt time.Time // when marks were last compared with another host's
 }
 
-// NewRouter returns a router over the board and this host's own owner. A nil
-// dial uses TCP.
+// NewRouter returns a router over the board and this host's own owner. If dial is nil, it dials
+// TCP.
 func NewRouter(b *blackboard.Board, o *owner.Owner, dial Dial, log *zap.Logger) *Router {
-	r := &Router{board: b, owner: o, log: log, releases: map[string][]owner.Release{}, unknown: map[uint32]bool{}, listed: map[uint32]bool{}, missed: map[uint32]int{}, differs: true}
+	r := &Router{board: b, owner: o, log: log, releases: map[string][]owner.Release{}, unnamed: map[uint32]bool{}, listed: map[uint32]bool{}, missedPings: map[uint32]int{}, membersDiffer: true}
 	r.pool = newPool(dial, &r.Traffic, &r.Spent)
 	r.bulk = newPool(dial, &r.Traffic, &r.Spent)
 	o.SetPeers(r)
@@ -79,13 +79,13 @@
 	r.bulk.close()
 }
 
-// Connections returns how many connections this host keeps to others.
+// Connections returns how many connections to other hosts are open.
 func (r *Router) Connections() int { return r.pool.size() + r.bulk.size() }
 
 func (r *Router) timeout() time.Duration { return config.Millis(r.board.Settings.RPCMillis) }
 
-// ownerOf returns where an endpoint's owner is. It fails at once for an owner
-// that didn't answer lately.
+// ownerOf returns the host that owns an endpoint. It fails at once if that host didn't answer
+// recently.
 func (r *Router) ownerOf(spec *config.Endpoint) (h blackboard.Host, self bool, err error) {
 	h, ok := owner.Of(r.board, r.board.Config.View(), spec, time.Now())
 	if !ok || h.Doubted || h.Peers == "" || r.board.Domains.CutOff(h.Domain, time.Now()) {
@@ -94,27 +94,27 @@
 	return h, h.Number == r.board.Number, nil
 }
 
-// fail notes that a host didn't answer.
-func (r *Router) fail(ctx context.Context, h blackboard.Host, err error) error {
+// noteOutcome records whether a call to a host succeeded.
+func (r *Router) noteOutcome(ctx context.Context, h blackboard.Host, err error) error {
 	if err == nil {
-		r.heard(h)
+		r.noteAnswered(h)
 		return nil
 	}
 	if ctx.Err() != nil {
 		return err
 	}
-	if !silent(err) || r.pool.dead(h.Peers) {
+	if !isTimeout(err) || r.pool.dead(h.Peers) {
 		r.board.Hosts.Doubt(h.Number)
 	}
-	if silent(err) {
-		r.unheard(h)
+	if isTimeout(err) {
+		r.noteSilent(h)
 	}
 	r.log.Debug("peer failed", zap.String("host", h.Name), zap.Error(err))
 	return ErrOutOfReach
 }
 
-// heard notes that a host answered.
-func (r *Router) heard(h blackboard.Host) {
+// noteAnswered records that a host answered.
+func (r *Router) noteAnswered(h blackboard.Host) {
 	if h.Doubted {
 		r.board.Hosts.Answered(h.Number)
 		r.board.Wake.All()
@@ -124,16 +124,16 @@
 	}
 }
 
-// unheard notes that a host said nothing to a call.
-func (r *Router) unheard(h blackboard.Host) {
+// noteSilent records that a host didn't respond to a call.
+func (r *Router) noteSilent(h blackboard.Host) {
 	if r.board.Missed(h.Domain, h.Number, time.Now()) {
 		r.log.Warn("failure domain cut off", zap.String("domain", h.Domain), zap.String("silent", h.Name))
 	}
 }
 
-// silent reports whether err means that a host said nothing. One whose process
-// is gone refuses instead.
-func silent(err error) bool {
+// isTimeout reports whether err means that a host didn't respond. A host whose process is gone
+// refuses the connection instead.
+func isTimeout(err error) bool {
 	var timeout net.Error
 	return errors.Is(err, ErrOutOfReach) || errors.As(err, &timeout) && timeout.Timeout()
 }
@@ -147,7 +147,7 @@
 	var reply owner.ReserveReply
 	if self {
 		reply, err = r.owner.Reserve(ctx, a)
-	} else if err = r.fail(ctx, h, r.pool.call(ctx, h.Peers, methodReserve, &a, &reply, r.timeout())); err != nil {
+	} else if err = r.noteOutcome(ctx, h, r.pool.call(ctx, h.Peers, methodReserve, &a, &reply, r.timeout())); err != nil {
 		return owner.ReserveReply{}, err
 	}
 	if err == nil {
@@ -156,8 +156,8 @@
 	return reply, err
 }
 
-// Enqueue waits at the endpoint's owner for its turn. When the caller leaves
-// meanwhile, the owner is told so.
+// Enqueue waits at the endpoint's owner for admission. If the caller leaves meanwhile, the owner
+// is told.
 func (r *Router) Enqueue(ctx context.Context, spec *config.Endpoint, a owner.EnqueueArgs) (owner.EnqueueReply, error) {
 	h, self, err := r.ownerOf(spec)
 	if err != nil {
@@ -167,52 +167,51 @@
 	if self {
 		reply, err = r.owner.Enqueue(ctx, a)
 	} else {
-		// An owner that froze is found out long before the request's slack
-		// is over.
+		// A frozen owner is detected long before the request's slack is used up.
 		wait := r.timeout() + config.Millis(a.Slack)
 		if a.Expect > 0 {
-			wait = r.timeout() + config.Millis(min(a.Slack, waitFactor*a.Expect+waitLeast))
+			wait = r.timeout() + config.Millis(min(a.Slack, waitFactor*a.Expect+minWaitMillis))
 		}
-		err = r.callWatched(ctx, h, methodEnqueue, &a, &reply, wait, r.watchOf(a))
+		err = r.callWatched(ctx, h, methodEnqueue, &a, &reply, wait, r.watchTimeout(a))
 	}
 	if err != nil || reply.Code == result.CallerGone {
-		left := owner.Release{Attempt: a.Attempt, Endpoint: a.Endpoint, Outcome: owner.GivenUp}
+		rel := owner.Release{Attempt: a.Attempt, Endpoint: a.Endpoint, Outcome: owner.GivenUp}
 		if ctx.Err() != nil {
-			left.Outcome = owner.Left
+			rel.Outcome = owner.Left
 		}
-		r.Release(spec, left)
+		r.Release(spec, rel)
 	}
-	if err = r.fail(ctx, h, err); err != nil {
+	if err = r.noteOutcome(ctx, h, err); err != nil {
 		return owner.EnqueueReply{}, err
 	}
 	r.board.Endpoints.Learn(reply.Digest, time.Now())
 	return reply, nil
 }
 
-// abroadWatch is how soon an owner of another region is asked for a sign of life. The
-// request has been refused at home, and is to be tried in a third region if this one is cut
-// off: with the ordinary time for a call, 625 ms of its 810 ms were gone by then.
-const abroadWatch = 100 * time.Millisecond
+// remoteRegionWatch is how long an owner in another region may be silent before it is pinged. The
+// request was already refused in its home region and has to be tried in a third one if this one
+// is cut off: with the ordinary call timeout, 625 ms of its 810 ms were gone by then.
+const remoteRegionWatch = 100 * time.Millisecond
 
-// watchOf returns how long an owner may say nothing to a request for a turn.
-func (r *Router) watchOf(a owner.EnqueueArgs) time.Duration {
+// watchTimeout returns how long an owner may be silent while a request waits for admission.
+func (r *Router) watchTimeout(a owner.EnqueueArgs) time.Duration {
 	if a.Abroad {
-		return min(abroadWatch, r.timeout())
+		return min(remoteRegionWatch, r.timeout())
 	}
 	return r.timeout()
 }
 
-// callWatched makes a call that may take long. While it waits the host is asked
-// now and then for a sign of life, so that one that froze or was cut off is found out soon.
+// callWatched makes a call that may take long. While it waits, the host is pinged from time to
+// time, so that a host that froze or was cut off is detected soon.
 func (r *Router) callWatched(ctx context.Context, h blackboard.Host, method string, args, reply any, timeout, watch time.Duration) error {
 	watched, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	go func() {
 		for wait.For(watched, watch) {
-			if r.pool.heardWithin(h.Peers, watch) {
+			if r.pool.answeredWithin(h.Peers, watch) {
 				continue
 			}
-			if err := r.pool.call(watched, h.Peers, methodPing, &Nothing{}, new(Beat), signPatience*watch/2); err != nil {
+			if err := r.pool.call(watched, h.Peers, methodPing, &Nothing{}, new(Heartbeat), pingTimeoutHalves*watch/2); err != nil {
 				cancel(ErrOutOfReach)
 			}
 		}
@@ -224,14 +223,14 @@
 	return err
 }
 
-// signPatience is how long a sign of life may take, in halves of the time for a
-// call: a packet that was lost is sent again after some 200 ms.
-const signPatience = 3
+// pingTimeoutHalves is how long a ping may take, in halves of the call timeout: a lost packet is
+// resent after about 200 ms.
+const pingTimeoutHalves = 3
 
-// How long an owner may keep a queued request beyond what was expected.
+// How long an owner may keep a queued request beyond the expected wait.
 const (
-	waitFactor = 3
-	waitLeast  = 400 // ms
+	waitFactor    = 3
+	minWaitMillis = 400 // added to waitFactor times the expected wait
 )
 
 // Claims implements owner.Peers.
@@ -253,8 +252,8 @@
 	return reply, err
 }
 
-// Touched notes that this host sent a request to an endpoint (n 1) or that
-// one ended (n -1), for the baselines that know no more.
+// Touched counts a request that this host sent to an endpoint (n is 1) or that ended there (n is
+// -1). The baseline policies, which have no other information, use the count.
 func (r *Router) Touched(number uint32, n int) {
 	r.board.Endpoints.Touch(number, func(s *route.State) { s.Sent += n })
 }
--- a/peer/seed.go
+++ b/peer/seed.go
@@ -10,45 +10,44 @@
 	"github.com/embercove/embercove/config"
 )
 
-// Contacts with seeds, so that parts of the fleet which know nothing of each other meet.
+// Contacts with seeds, by which parts of the fleet that don't know each other meet.
 const (
-	// seedEvery is the number of rounds between contacts of one host.
-	seedEvery = 8
-	// mostSeeking is how many of a host's part of the fleet meet a seed in that time,
-	// however many they are. With all of 100 hosts, a seed spent 49 kB a second with
-	// others, ten times the middle host.
-	mostSeeking = 8
+	// seedRounds is the number of rounds between two seed contacts.
+	seedRounds = 8
+	// maxSeedContacts is how many of the hosts that know each other contact a seed in that time,
+	// however many there are. When all of 100 hosts did, a seed used 49 kB/s for others, ten
+	// times as much as the median host.
+	maxSeedContacts = 8
 )
 
-// seeks reports whether a host of a part of so many live hosts, itself included, meets a
-// seed in a round. drawn is in [0, 1).
-func seeks(round, live int, drawn float64) bool {
+// contactsSeed reports whether a host contacts a seed in a round. live is the number of live
+// hosts it knows, itself included, and random is in [0, 1).
+func contactsSeed(round, live int, random float64) bool {
 	if live <= 1 {
 		return true
 	}
-	return round%seedEvery == 0 && drawn < float64(mostSeeking)/float64(live)
+	return round%seedRounds == 0 && random < float64(maxSeedContacts)/float64(live)
 }
 
-// Seeder returns the controller that meets other hosts by the addresses of
-// the settings: at every heartbeat while no other host is known, and now and
-// then afterwards.
+// Seeder returns the controller that contacts hosts by the addresses of the settings: at every
+// heartbeat while no other host is known, and from time to time afterwards.
 func (r *Router) Seeder() blackboard.Controller {
 	round := 0
 	return blackboard.Every(config.Millis(r.board.Settings.HeartbeatMillis), func(ctx context.Context) {
 		seeds := r.seedList()
 		round++
-		live := r.live()
+		live := r.liveHosts()
 		if len(seeds) == 0 {
 			return
 		}
-		if !seeks(round, live, rand.Float64()) {
-			r.insteadOfSeed(ctx, round)
+		if !contactsSeed(round, live, rand.Float64()) {
+			r.exchangeInsteadOfSeed(ctx, round)
 			return
 		}
 		to := blackboard.Host{Peers: seeds[rand.IntN(len(seeds))]}
 		if live <= 1 {
 			to.Region = r.board.Settings.Region
-		} // else it is told of no endpoints, which its neighbours tell it of
+		} // otherwise the seed is sent no endpoint digests; its neighbours send those
 		if to.Peers != r.board.Settings.PeersAt() {
 			r.exchangeWith(ctx, to)
 		}
@@ -64,27 +63,27 @@
 	return r.seeds
 }
 
-// SetSeeds replaces the addresses by which other hosts are met.
+// SetSeeds replaces the addresses of the seeds.
 func (r *Router) SetSeeds(seeds []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.seeds = append([]string{}, seeds...)
 }
 
-// insteadOfSeed makes an exchange with a partner in a round of which others meet a seed.
-// Without, digests of other failure domains get older: what all hosts send through the
-// seeds is of use.
-func (r *Router) insteadOfSeed(ctx context.Context, round int) {
-	if round%seedEvery != 0 {
+// exchangeInsteadOfSeed exchanges with a partner in a round in which other hosts contact a seed.
+// Otherwise the digests of other failure domains would get older, since part of them travel with
+// the exchanges with seeds.
+func (r *Router) exchangeInsteadOfSeed(ctx context.Context, round int) {
+	if round%seedRounds != 0 {
 		return
 	}
-	if h, ok := r.partner(uint64(round/seedEvery), time.Now()); ok {
+	if h, ok := r.partner(uint64(round/seedRounds), time.Now()); ok {
 		r.exchangeWith(ctx, h)
 	}
 }
 
-// live returns how many hosts are known to live, this one included.
-func (r *Router) live() (n int) {
+// liveHosts returns the number of live hosts, this one included.
+func (r *Router) liveHosts() (n int) {
 	r.board.Hosts.Each(time.Now(), func(h *blackboard.Host, live bool) {
 		if live && (h.Number == r.board.Number || h.Incarnation != 0) {
 			n++
@@ -93,8 +92,8 @@
 	return n
 }
 
-// Seed exchanges with all peers known by address only, at once: any of them may
-// be silent. It is for a host that starts.
+// Seed exchanges with all of the given addresses concurrently, since any of them may not respond.
+// It is used by a host that starts.
 func (r *Router) Seed(ctx context.Context, addrs []string) {
 	var wg sync.WaitGroup
 	for _, a := range addrs {
--- a/peer/server.go
+++ b/peer/server.go
@@ -14,14 +14,14 @@
 	"github.com/embercove/embercove/owner"
 )
 
-// server answers other hosts. Its methods are the remote ones.
+// server serves the remote methods to other hosts.
 type server struct {
 	r   *Router
 	ctx context.Context
 }
 
 func (s *server) Reserve(a *owner.ReserveArgs, reply *owner.ReserveReply) (err error) {
-	if spec := s.elsewhere(a.Endpoint); spec != nil && !a.Forwarded {
+	if spec := s.handedOver(a.Endpoint); spec != nil && !a.Forwarded {
 		a.Forwarded = true
 		*reply, err = s.r.Reserve(s.ctx, spec, *a)
 		return err
@@ -30,9 +30,9 @@
 	return err
 }
 
-// elsewhere returns an endpoint whose owner this host no longer is because it
-// leaves; the asker hasn't heard of that yet. Else it returns nil.
-func (s *server) elsewhere(endpoint uint32) *config.Endpoint {
+// handedOver returns the endpoint if this host no longer owns it because it is leaving and the
+// caller doesn't know that yet. Otherwise it returns nil.
+func (s *server) handedOver(endpoint uint32) *config.Endpoint {
 	v := s.r.board.Config.View()
 	if !s.r.board.Leaving() || v == nil {
 		return nil
@@ -56,14 +56,14 @@
 }
 
 func (s *server) Exchange(a *ExchangeArgs, reply *ExchangeReply) error {
-	knows := s.r.takeIn(ExchangeReply(*a), time.Now())
-	*reply = ExchangeReply(s.r.tell(telling{to: a.From, want: a.Want, heads: a.Heads, news: a.News, all: a.All, knows: knows}))
+	peerAges := s.r.merge(ExchangeReply(*a), time.Now())
+	*reply = ExchangeReply(s.r.buildExchange(sendOptions{to: a.From, want: a.Want, heads: a.Heads, changesOnly: a.News, all: a.All, peerAges: peerAges}))
 	return nil
 }
 
-func (s *server) Ping(_ *Nothing, reply *Beat) error {
+func (s *server) Ping(_ *Nothing, reply *Heartbeat) error {
 	h := s.r.board.Hosts.Self()
-	*reply = beatOf(&h)
+	*reply = heartbeatOf(&h)
 	return nil
 }
 
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// Serve answers other hosts on the listener until ctx ends.
+// Serve serves other hosts on the listener until ctx ends.
 func (r *Router) Serve(ctx context.Context, l net.Listener) error {
 	srv := rpc.NewServer()
 	if err := srv.RegisterName("P", &server{r: r, ctx: ctx}); err != nil {
@@ -132,7 +132,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			srv.ServeCodec(&answering{wire: newWire(counted(c, &r.Traffic), &r.Spent)})
+			srv.ServeCodec(&serverCodec{wire: newWire(counted(c, &r.Traffic), &r.Spent)})
 			mu.Lock()
 			defer mu.Unlock()
 			delete(open, c)
@@ -140,67 +140,68 @@
 	}
 }
 
-// telling says what is told to another host.
-type telling struct {
-	to    Name
-	want  []uint32 // hosts to introduce
-	heads bool     // what is known of cached prompts as well
-	news  bool     // no digests
-	all   bool     // every heartbeat
-	knows ages     // what the other has just told of
+// sendOptions selects what to send to another host.
+type sendOptions struct {
+	to          HostIdentity
+	want        []uint32   // hosts whose identity was requested
+	heads       bool       // include cached prompts
+	changesOnly bool       // omit digests
+	all         bool       // include all heartbeats
+	peerAges    digestAges // of the digests that the other host has just sent
 }
 
-// ages are those of the digests that a host told of, in ms, by endpoint.
-type ages map[uint32]uint32
+// digestAges are the ages of a host's digests in ms, by endpoint.
+type digestAges map[uint32]uint32
 
-// fresher is by how much a digest must be younger than the one that the other
-// host has told of, in ms, to be told back.
-const fresher = 100
+// minFresherMillis is how much younger than the other host's digest, in ms, one must be to be
+// worth sending back.
+const minFresherMillis = 100
 
-// lacks reports whether a host is without a digest, or has an older one.
-func (k ages) lacks(number, ageMillis uint32) bool {
+// lacks reports whether the host has no digest of an endpoint, or an older one.
+func (k digestAges) lacks(number, ageMillis uint32) bool {
 	age, known := k[number]
-	return !known || ageMillis+fresher < age
+	return !known || ageMillis+minFresherMillis < age
 }
 
-// tell returns what this host knows, for another host: heartbeats to all,
-// digests of endpoints to hosts of the region.
-func (r *Router) tell(t telling) ExchangeArgs {
+// buildExchange returns what this host knows: heartbeats for any host, digests of endpoints for
+// hosts of the same region.
+func (r *Router) buildExchange(t sendOptions) ExchangeArgs {
 	now := time.Now()
-	// Read first: an answer that is taken over meanwhile would make older revisions look fresh.
-	heard, ever := r.board.Config.HeardFor(now)
+	// Read this first: if an answer arrived in between, its age would make older revisions look
+	// fresh.
+	age, ever := r.board.Config.HeardFor(now)
 	self := r.board.Hosts.Self()
-	a := ExchangeArgs{From: Name{self.Name, self.Domain, self.Region, self.Peers}, Revision: r.board.Config.Revision(),
-		Roster: r.board.Config.RosterRevision(), Fence: r.owner.Fence(), Heads: t.heads, News: t.news, All: t.all,
-		Beats: r.beats(now, t.news, t.all), Members: r.board.Hosts.Members(now), Marks: r.board.Suspects.Sum()}
+	a := ExchangeArgs{From: HostIdentity{self.Name, self.Domain, self.Region, self.Peers}, Revision: r.board.Config.Revision(),
+		Roster: r.board.Config.RosterRevision(), Fence: r.owner.Fence(), Heads: t.heads, News: t.changesOnly, All: t.all,
+		Beats: r.heartbeats(now, t.changesOnly, t.all), Members: r.board.Hosts.Members(now), Marks: r.board.Suspects.Sum()}
 	if ever {
-		a.Heard = heardMillis(heard)
+		a.Heard = encodeAge(age)
 	}
-	for _, h := range r.board.Hosts.Accused(now, goneTold) {
-		a.Gone = append(a.Gone, beatOf(&h))
+	for _, h := range r.board.Hosts.Accused(now, goneSendFor) {
+		a.Gone = append(a.Gone, heartbeatOf(&h))
 	}
 	for _, n := range t.want {
 		if h, _, known := r.board.Hosts.Get(n, now); known {
-			a.Names = append(a.Names, Name{h.Name, h.Domain, h.Region, h.Peers})
+			a.Names = append(a.Names, HostIdentity{h.Name, h.Domain, h.Region, h.Peers})
 		}
 	}
-	if !t.news {
+	if !t.changesOnly {
 		a.Regions = r.summaries(now, t.to.Region)
 	}
-	if t.to.Region == self.Region && !t.news {
+	if t.to.Region == self.Region && !t.changesOnly {
 		a.Digests = r.digests(now, t)
 	}
 	return a
 }
 
 // digests returns the packed digests that another host of the region may lack.
-func (r *Router) digests(now time.Time, t telling) []byte {
+func (r *Router) digests(now time.Time, t sendOptions) []byte {
 	for _, d := range r.owner.Digests(now) {
 		r.board.Endpoints.Learn(d, now)
 	}
-	ds := r.board.Endpoints.Digests(now, blackboard.Wanted{Domain: r.useful(t.to.Domain), MaxAge: maxDigestAge, Most: mostDigests, Lacking: t.knows.lacks})
+	ds := r.board.Endpoints.Digests(now, blackboard.Wanted{Domain: r.preferredDomain(t.to.Domain), MaxAge: maxDigestAge, Most: maxDigests, Lacking: t.peerAges.lacks})
 	for i := range ds {
-		ds[i].Heads = ds[i].Heads[:min(len(ds[i].Heads), toldHeads)]
+		ds[i].Heads = ds[i].Heads[:min(len(ds[i].Heads), maxSentHeads)]
 		if !t.heads {
 			ds[i].Heads = nil
 		}
@@ -208,27 +209,28 @@
 	return pack(ds)
 }
 
-// mostDigests is how many digests an exchange tells of, some 4 KB. With those of thousands of
-// endpoints rounds would have to last many seconds to stay within their budget, and
-// heartbeats and names, which go the same way, would be as late.
-const mostDigests = 160
+// maxDigests is how many digests an exchange carries, about 4 KB. With those of thousands of
+// endpoints, rounds would have to last many seconds to stay within their budget, and the
+// heartbeats and names in the same exchanges would be as late.
+const maxDigests = 160
 
-// useful returns the failure domain whose digests another host has most use for: where there
-// are more endpoints than an exchange tells of, its own; empty: all.
-func (r *Router) useful(domain string) string {
+// preferredDomain returns the failure domain whose digests are most useful to a host of the given
+// domain: its own, if there are more endpoints than an exchange carries. Otherwise it returns the
+// empty string, for all domains.
+func (r *Router) preferredDomain(domain string) string {
 	v := r.board.Config.View()
-	if v != nil && v.Endpoints.Len() > mostDigests && v.DomainIndex(domain) >= 0 {
+	if v != nil && v.Endpoints.Len() > maxDigests && v.DomainIndex(domain) >= 0 {
 		return domain
 	}
 	return ""
 }
 
-// toldHeads is how many cached prompts of an endpoint are told of, and
-// headsEvery in how many exchanges: they change slowly and take much room.
+// maxSentHeads is how many cached prompts per endpoint are sent. One in headsInterval exchanges
+// carries them, as they change slowly and take much space.
 const (
-	toldHeads  = 8
-	headsEvery = 8
+	maxSentHeads  = 8
+	headsInterval = 8
 )
 
-// maxDigestAge is the age from which a digest isn't handed on.
+// maxDigestAge is the age from which a digest isn't forwarded.
 const maxDigestAge = 10 * time.Second
--- a/peer/settle.go
+++ b/peer/settle.go
@@ -10,30 +10,30 @@
 	"github.com/embercove/embercove/quota"
 )
 
-// What holders of one team tell each other.
+// How the holders of one team's limit keep each other informed.
 
-// SettleArgs tells a holder of another failure domain what was let in.
+// SettleArgs reports to a holder of another failure domain what was admitted.
 type SettleArgs struct {
 	Domain string
 	Rows   []SettleRow
 }
 
-// SettleRow is a word about one team.
+// SettleRow is a report about one team.
 type SettleRow struct {
 	Team uint32
 	Word quota.Word
 }
 
-// SettleReply carries the words of the one that was told.
+// SettleReply carries the receiver's own reports.
 type SettleReply struct{ Rows []SettleRow }
 
-// settleEvery is how often holders look whether others should be told. A team at its
-// limit is told of about as often.
-const settleEvery = 250 * time.Millisecond
+// settleInterval is how often holders check whether others need a report. A team at its limit is
+// reported at about this interval.
+const settleInterval = 250 * time.Millisecond
 
-// Settle answers a holder of another failure domain, about the teams that this host
-// holds. A host that is asked in the place of the holder, which the asker can't reach,
-// says nothing: by its word that nothing is asked here others would let in all of the limit.
+// Settle answers a holder of another failure domain, for the teams whose limits this host holds.
+// If this host is called because the caller can't reach the actual holder, it reports nothing: a
+// report that nothing was admitted here would make the others admit the whole limit.
 func (s *server) Settle(a *SettleArgs, reply *SettleReply) error {
 	now := time.Now()
 	for _, row := range a.Rows {
@@ -44,20 +44,20 @@
 	return nil
 }
 
-// holds reports whether this host holds a team's limit, by its own view or because it
-// is asked as if it did.
+// holds reports whether this host holds a team's limit, by its own view or because others call it
+// as the holder.
 func (r *Router) holds(t quota.Team, now time.Time) bool {
 	if r.board.Quotas.Open(t.Number) {
 		return true
 	}
-	h, ok := r.board.Hosts.First(keyOf(t.Number), r.board.Settings.Domain, now)
+	h, ok := r.board.Hosts.First(teamKey(t.Number), r.board.Settings.Domain, now)
 	return ok && h.Number == r.board.Number
 }
 
-// Settler returns the controller by which the holders of teams tell each other what
-// they have let in.
+// Settler returns the controller by which the holders of teams report to each other what they
+// have admitted.
 func (r *Router) Settler() blackboard.Controller {
-	return blackboard.Every(settleEvery, func(ctx context.Context) {
+	return blackboard.Every(settleInterval, func(ctx context.Context) {
 		now := time.Now()
 		due := r.board.Quotas.Due(now)
 		if len(due) == 0 {
@@ -73,36 +73,36 @@
 	})
 }
 
-// settlement is what one holder of another failure domain is told.
+// settlement holds the reports for one holder of another failure domain.
 type settlement struct {
-	to   blackboard.Host
-	rows []SettleRow
+	holder blackboard.Host
+	rows   []SettleRow
 }
 
-// settlements puts words together by the hosts that hold the teams in a domain. Where
-// none does, that is noted.
+// settlements groups reports by the host that holds the teams in a domain. Teams without a holder
+// there are recorded as unsettled.
 func (r *Router) settlements(now time.Time, domain string, due map[uint32]quota.Word) map[uint32]*settlement {
 	out := map[uint32]*settlement{}
 	for team, w := range due {
-		h, ok := r.board.Hosts.First(keyOf(team), domain, now)
+		h, ok := r.board.Hosts.First(teamKey(team), domain, now)
 		if !ok || h.Peers == "" {
-			r.missSettled(domain, []SettleRow{{Team: team}})
+			r.noteUnsettled(domain, []SettleRow{{Team: team}})
 			continue
 		}
 		if out[h.Number] == nil {
-			out[h.Number] = &settlement{to: h}
+			out[h.Number] = &settlement{holder: h}
 		}
 		out[h.Number].rows = append(out[h.Number].rows, SettleRow{team, w})
 	}
 	return out
 }
 
-// settle tells one holder and takes in what it answers.
+// settle sends reports to one holder and applies its answers.
 func (r *Router) settle(ctx context.Context, domain string, b *settlement) {
 	var reply SettleReply
 	args := &SettleArgs{Domain: r.board.Settings.Domain, Rows: b.rows}
-	if err := r.fail(ctx, b.to, r.pool.call(ctx, b.to.Peers, methodSettle, args, &reply, r.timeout())); err != nil {
-		r.missSettled(domain, b.rows)
+	if err := r.noteOutcome(ctx, b.holder, r.pool.call(ctx, b.holder.Peers, methodSettle, args, &reply, r.timeout())); err != nil {
+		r.noteUnsettled(domain, b.rows)
 		return
 	}
 	now := time.Now()
@@ -111,17 +111,17 @@
 			r.board.Quotas.Hear(now, t, domain, row.Word, r.reach(now, row.Team))
 		}
 	}
-	r.missSettled(domain, unanswered(b.rows, reply.Rows))
+	r.noteUnsettled(domain, unanswered(b.rows, reply.Rows))
 }
 
-// unanswered returns the rows about whose teams nothing was answered.
+// unanswered returns the rows whose teams have no answer.
 func unanswered(asked, answered []SettleRow) []SettleRow {
 	return slices.DeleteFunc(slices.Clone(asked), func(row SettleRow) bool {
 		return slices.ContainsFunc(answered, func(a SettleRow) bool { return a.Team == row.Team })
 	})
 }
 
-func (r *Router) missSettled(domain string, rows []SettleRow) {
+func (r *Router) noteUnsettled(domain string, rows []SettleRow) {
 	now := time.Now()
 	for _, row := range rows {
 		if t, known := r.teamOf(row.Team); known {
--- a/peer/standing_test.go
+++ b/peer/standing_test.go
@@ -8,8 +8,8 @@
 	"github.com/embercove/embercove/config"
 )
 
-// TestRely tells a host what another has in force, and states for how long it relies on
-// that. With a bound of four seconds that is 1.8, and one for what it lacks.
+// TestRely reports another host's revisions to a host, and checks for how long it relies on that
+// report: with a bound of four seconds, 1.8 s, and 1 s while it lacks a revision.
 func TestRely(t *testing.T) {
 	const bound = 4 * time.Second
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
@@ -18,15 +18,15 @@
 		bound    time.Duration
 		revision uint64
 		roster   config.Position
-		heard    uint32        // as it is told; 0: not at all
-		after    time.Duration // that it is looked at
+		age      uint32        // age as sent; 0: none
+		after    time.Duration // when the result is checked
 		want     bool
 	}{
 		{"nothing", bound, 1, 1, 0, 0, false},
 		{"the same, fresh", bound, 1, 1, 1, 0, true},
 		{"some time later", bound, 1, 1, 1, ms(1700), true},
 		{"too late", bound, 1, 1, 1, ms(1900), false},
-		{"word that is old", bound, 1, 1, 1301, ms(600), false},
+		{"an old report", bound, 1, 1, 1301, ms(600), false},
 		{"a later revision", bound, 2, 1, 1, ms(100), false},
 		{"a later roster", bound, 1, 2, 1, ms(100), false},
 		{"an earlier one", bound, 0, 0, 1, 0, true},
@@ -37,7 +37,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				r := informedRouter(t, tc.bound)
-				r.learnStanding(ahead{revision: tc.revision, roster: tc.roster, from: Name{Name: "other"}}, tc.heard, time.Now())
+				r.applyStanding(aheadPeer{revision: tc.revision, roster: tc.roster, from: HostIdentity{Name: "other"}}, tc.age, time.Now())
 				time.Sleep(tc.after)
 				if got := r.Relies(time.Now()); got != tc.want {
 					t.Errorf("relies: %v, want %v", got, tc.want)
@@ -47,45 +47,45 @@
 	}
 }
 
-// TestRelyBehind has a host know of a later revision that it can't get, after it was
-// told that it has all.
+// TestRelyBehind has a host learn of a later revision that it can't fetch, after it was told that
+// it is up to date.
 func TestRelyBehind(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const bound = 4 * time.Second
 		r := informedRouter(t, bound)
-		r.learnStanding(ahead{revision: 1, roster: 1, from: Name{Name: "other"}}, 1, time.Now())
-		r.learnStanding(ahead{revision: 2, roster: 1, from: Name{Name: "third"}}, 1, time.Now())
+		r.applyStanding(aheadPeer{revision: 1, roster: 1, from: HostIdentity{Name: "other"}}, 1, time.Now())
+		r.applyStanding(aheadPeer{revision: 2, roster: 1, from: HostIdentity{Name: "third"}}, 1, time.Now())
 		time.Sleep(900 * time.Millisecond)
 		if !r.Relies(time.Now()) {
-			t.Error("a fetch isn't waited for")
+			t.Error("doesn't wait for a fetch")
 		}
 		time.Sleep(200 * time.Millisecond)
 		if r.Relies(time.Now()) {
-			t.Error("it relies on others though it has lacked a revision for over a second")
+			t.Error("relies on others although a revision has been missing for over a second")
 		}
 	})
 }
 
-// TestStandingGroups states how many hosts one tells of what it has in force, and that each
-// is told once, by it or by one that it tells.
+// TestStandingGroups checks how many hosts are sent a report directly, and that each host is in
+// exactly one group.
 func TestStandingGroups(t *testing.T) {
-	for hosts, want := range map[int]int{0: 0, 1: 1, standingFew: standingFew, standingFew + 1: 4, 150: 13} {
+	for hosts, want := range map[int]int{0: 0, 1: 1, maxDirectHosts: maxDirectHosts, maxDirectHosts + 1: 4, 150: 13} {
 		var all []uint32
 		for n := range hosts {
 			all = append(all, uint32(n))
 		}
-		groups := standingGroups(all)
+		groups := relayGroups(all)
 		if len(groups) != want {
-			t.Errorf("%d hosts: %d told directly, want %d", hosts, len(groups), want)
+			t.Errorf("%d hosts: %d sent directly, want %d", hosts, len(groups), want)
 		}
-		told := map[uint32]bool{}
+		reached := map[uint32]bool{}
 		for _, g := range groups {
 			for _, n := range g {
-				told[n] = true
+				reached[n] = true
 			}
 		}
-		if len(told) != hosts {
-			t.Errorf("%d hosts: %d told", hosts, len(told))
+		if len(reached) != hosts {
+			t.Errorf("%d hosts: %d reached", hosts, len(reached))
 		}
 	}
 }
--- a/peer/starts.go
+++ b/peer/starts.go
@@ -12,35 +12,36 @@
 	"github.com/embercove/embercove/route"
 )
 
-// StartAsk is what a call needs a start for.
+// StartAsk describes a call that needs a start permit.
 type StartAsk struct {
-	Wait  time.Duration // that the call may wait for it
-	Warm  bool          // the endpoint isn't cold, as far as this host knows
+	Wait  time.Duration // how long the call may wait for the permit
+	Warm  bool          // this host doesn't consider the endpoint cold
 	Asker pace.Asker
 }
 
-// Start is a start at an endpoint.
+// Start is the answer to a request for a start permit at an endpoint.
 type Start struct {
 	Given bool
-	In    time.Duration // until it, or where none is given until one may be asked for
-	Back  time.Duration // until the caller may come back, where none is given
-	Until time.Time     // when it lapses, by package clock
+	In    time.Duration // until the permit is valid, or if refused, until the next request is worthwhile
+	Back  time.Duration // if refused, until the caller may come back
+	Until time.Time     // when the permit expires, on the clock of package clock
 }
 
 const (
-	// startTimeout bounds an ask for a start. What it takes is lost of pace.Lag.
-	startTimeout = 150 * time.Millisecond
-	// unheldRest is when to ask again for a start whose owner is out of reach: a doubt
-	// of it ends with its next heartbeat.
-	unheldRest = 500 * time.Millisecond
+	// permitTimeout bounds a request for a permit. The time it takes is deducted from pace.Lag.
+	permitTimeout = 150 * time.Millisecond
+	// ownerlessRetry is when to ask again for a permit whose owner is unreachable: an owner is
+	// confirmed again by its next heartbeat.
+	ownerlessRetry = 500 * time.Millisecond
 )
 
-// Start asks an endpoint's owner for a start. Where the owner is out of reach, there is what
-// this host may send by itself to one that names a limit, and none at a cold one.
+// Start asks an endpoint's owner for a start permit. If the owner is unreachable, this host
+// grants permits from its own share of the limit that the endpoint names, and none at a cold
+// endpoint.
 func (r *Router) Start(ctx context.Context, spec *config.Endpoint, a StartAsk) Start {
 	h, self, err := r.ownerOf(spec)
 	if err != nil {
-		return r.startAlone(spec)
+		return r.localPermit(spec)
 	}
 	asked := clock.Now()
 	args, reply := owner.StartArgs{Endpoint: config.NameNumber(spec.Name), Wait: int(a.Wait.Milliseconds()), Warm: a.Warm, Asker: a.Asker}, owner.StartReply{}
@@ -48,10 +49,10 @@
 		reply, err = r.owner.Starts.Ask(args)
 	} else {
 		args.Limit = r.limitOf(spec)
-		err = r.fail(ctx, h, r.pool.call(ctx, h.Peers, methodStart, &args, &reply, min(startTimeout, r.timeout())))
+		err = r.noteOutcome(ctx, h, r.pool.call(ctx, h.Peers, methodStart, &args, &reply, min(permitTimeout, r.timeout())))
 	}
 	if err != nil {
-		return r.startAlone(spec)
+		return r.localPermit(spec)
 	}
 	if !self {
 		r.LimitTold(spec, reply.Limit)
@@ -60,16 +61,16 @@
 	return Start{Given: reply.Given, In: in, Back: config.Millis(reply.BackMillis), Until: asked.Add(in + pace.Lag)}
 }
 
-// startAlone gives a start out that no other host knows of.
-func (r *Router) startAlone(spec *config.Endpoint) Start {
-	in, given := r.owner.Starts.AskAlone(spec, r.evenPart(r.board.Hosts.Census(time.Now())))
+// localPermit grants a permit that no other host knows of.
+func (r *Router) localPermit(spec *config.Endpoint) Start {
+	in, given := r.owner.Starts.AskAlone(spec, r.evenShare(r.board.Hosts.Census(time.Now())))
 	if given {
 		return Start{Given: true, Until: clock.Now().Add(pace.Lag)}
 	}
-	return Start{In: min(in, unheldRest), Back: min(in, unheldRest)}
+	return Start{In: min(in, ownerlessRetry), Back: min(in, ownerlessRetry)}
 }
 
-// limitOf returns what this host tells of an endpoint's limit.
+// limitOf returns this host's view of an endpoint's limit, as it is sent to other hosts.
 func (r *Router) limitOf(spec *config.Endpoint) (t pace.Told) {
 	r.board.Endpoints.Find(config.NameNumber(spec.Name), func(_ *config.View, s *route.State) { t = s.Limit.Word().Tell(clock.Now()) })
 	return t
@@ -77,7 +78,7 @@
 
 // Vote implements owner.Peers.
 func (r *Router) Vote(ctx context.Context, h blackboard.Host, a owner.VoteArgs) (reply owner.VoteReply, err error) {
-	err = r.pool.call(ctx, h.Peers, methodVote, &a, &reply, min(startTimeout, r.timeout()))
+	err = r.pool.call(ctx, h.Peers, methodVote, &a, &reply, min(permitTimeout, r.timeout()))
 	return reply, err
 }
 
--- a/peer/watch.go
+++ b/peer/watch.go
@@ -9,26 +9,26 @@
 	"github.com/embercove/embercove/blackboard"
 )
 
-// Heartbeats come by way of other hosts, and the more hosts there are the
-// longer they take. So each host is also watched by two neighbours in a ring,
-// who ask it directly every watchEvery; what they find goes around at once. The
-// time to notice a dead host doesn't grow with the fleet, nor does the cost.
+// Heartbeats travel through other hosts, and take longer the more hosts there are. So each host
+// is also watched by its two neighbours in a ring, which ping it directly every watchInterval and
+// announce at once what they detect. The time to detect a dead host doesn't grow with the fleet,
+// and neither does the cost.
 
 const (
-	watchEvery = 1500 * time.Millisecond
-	watchers   = 2
-	mostMissed = 2                // pings in a row until a host counts as gone
-	goneTold   = 30 * time.Second // how long exchanges carry it
+	watchInterval  = 1500 * time.Millisecond
+	watchers       = 2
+	maxMissedPings = 2                // pings in a row before a host counts as gone
+	goneSendFor    = 30 * time.Second // how long exchanges carry it
 )
 
-// Watcher returns the controller that asks the watched hosts for their
-// heartbeat, and tells news around while it is new.
+// Watcher returns the controller that pings the watched hosts, and repeats announcements of
+// recent changes.
 func (r *Router) Watcher() blackboard.Controller {
-	return blackboard.Every(watchEvery, func(ctx context.Context) {
+	return blackboard.Every(watchInterval, func(ctx context.Context) {
 		r.mu.Lock()
-		hot := time.Now().Before(r.hot)
+		repeat := time.Now().Before(r.announceUntil)
 		r.mu.Unlock()
-		if hot {
+		if repeat {
 			r.spread()
 		}
 		for _, h := range r.board.Hosts.Watched(watchers, time.Now()) {
@@ -37,14 +37,14 @@
 	})
 }
 
-// ping asks a host for its heartbeat and accuses it when it was silent too
-// often. A host that was paused itself accuses nobody.
+// ping requests a host's heartbeat, and suspects the host after too many unanswered pings. A host
+// that was itself paused suspects nobody.
 func (r *Router) ping(ctx context.Context, h blackboard.Host) {
-	b, err := r.beatOfPeer(ctx, h)
+	b, err := r.pingHeartbeat(ctx, h)
 	now := time.Now()
 	if err == nil {
 		r.mu.Lock()
-		delete(r.missed, h.Number)
+		delete(r.missedPings, h.Number)
 		r.mu.Unlock()
 		h.Incarnation, h.Beat, h.Leaving = b.Incarnation, b.Beat, b.Leaving
 		r.board.Hosts.Learn(h, now)
@@ -54,37 +54,38 @@
 		return
 	}
 	r.mu.Lock()
-	r.missed[h.Number]++
-	gone := r.missed[h.Number] >= mostMissed
+	r.missedPings[h.Number]++
+	gone := r.missedPings[h.Number] >= maxMissedPings
 	if gone {
-		delete(r.missed, h.Number)
+		delete(r.missedPings, h.Number)
 	}
 	r.mu.Unlock()
-	if gone && h.Incarnation != 0 && r.board.Hosts.Accuse(h.Number, h.Incarnation, r.lastBeat(h), now) {
+	if gone && h.Incarnation != 0 && r.board.Hosts.Accuse(h.Number, h.Incarnation, r.lastPossibleHeartbeat(h), now) {
 		r.log.Warn("host is gone", zap.String("gone", h.Name), zap.Error(err))
 		r.board.Wake.All()
-		r.tellAround()
+		r.announceChanges()
 	}
 }
 
-// beatOfPeer asks a host for its heartbeat. One that has missed a ping is asked over a
-// new connection: where all open ones have gone silent, hosts would take each other for
-// gone, as both pings go over the same connection.
-func (r *Router) beatOfPeer(ctx context.Context, h blackboard.Host) (b Beat, err error) {
+// pingHeartbeat requests a host's heartbeat. After a missed ping it uses a new connection: if all
+// open connections have gone silent, both pings would fail on the same one and hosts would
+// consider each other gone.
+func (r *Router) pingHeartbeat(ctx context.Context, h blackboard.Host) (b Heartbeat, err error) {
 	r.mu.Lock()
-	missed := r.missed[h.Number] > 0
+	missed := r.missedPings[h.Number] > 0
 	r.mu.Unlock()
 	call := r.pool.call
 	if missed {
-		call = r.pool.callAnew
+		call = r.pool.callOnNewConn
 	}
 	err = call(ctx, h.Peers, methodPing, &Nothing{}, &b, r.timeout())
 	return b, err
 }
 
-// lastBeat returns the last heartbeat that a host can have sent which answered the
-// ping before those that it missed. Heartbeats of many hosts are long under way: by the
-// last one that its watcher had seen, a killed host would be taken for live again and again.
-func (r *Router) lastBeat(h blackboard.Host) uint64 {
-	return h.Beat + uint64(watchEvery/r.heartbeat()) + 1
+// lastPossibleHeartbeat returns the highest heartbeat that a host can have sent if it answered
+// the ping before those that it missed. In a large fleet heartbeats take long to arrive: if its
+// watcher compared with the last one that it had seen itself, a killed host would be considered
+// live again and again.
+func (r *Router) lastPossibleHeartbeat(h blackboard.Host) uint64 {
+	return h.Beat + uint64(watchInterval/r.heartbeatInterval()) + 1
 }
