--- a/peer/news.go
+++ b/peer/news.go
@@ -65,8 +65,8 @@
 // expiryCheckInterval is how often endpoints with expired registrations are checked.
 const expiryCheckInterval = 250 * time.Millisecond
 
-// Lapser returns the controller that drops endpoints whose registrations expired too long ago. It
-// announces nothing, since each host finds out by itself.
+// Lapser returns the controller that drops endpoints whose registrations expired too long
+// ago. It announces nothing, since each host finds out by itself.
 func (r *Router) Lapser() blackboard.Controller {
 	return blackboard.Every(expiryCheckInterval, func(context.Context) {
 		endpoints, evacuations := r.board.Config.DropLapsed(time.Now())
