--- a/peer/exchange.go
+++ b/peer/exchange.go
@@ -135,9 +135,9 @@
 // heartbeatBytes is the approximate size of a heartbeat on the wire.
 const heartbeatBytes = 18
 
-// exchangeBudget limits the cost of exchanges to a host, in bytes per second. A host starts one
+// exchangeBudget limits what exchanges cost a host, in bytes per second. A host starts one
 // exchange per round and answers one on average. In large regions rounds become longer, and
-// digests older, instead of costs growing. The budget leaves capacity for all other peer traffic
+// digests older, but the cost doesn't grow. The budget leaves capacity for all other peer traffic
 // within the 15 KB per second that control may use.
 const exchangeBudget = 4000
 
--- a/peer/fetch.go
+++ b/peer/fetch.go
@@ -27,8 +27,8 @@
 
 // maxAheadPeers is how many hosts that reported something newer are remembered during a fetch. If
 // the fetch fails, the next of them is asked at once instead of waiting for another report: in a
-// test with 58 processes, one of them had six fetches in a row fail, for 1.8 s, after its
-// connections had gone silent.
+// test with 58 real processes, one had six fetches in a row fail, for 1.8 s, after its connections
+// had gone silent.
 const maxAheadPeers = 4
 
 // fetcher ensures that only one fetch runs at a time. The zero value is ready to use.
--- a/peer/partner.go
+++ b/peer/partner.go
@@ -66,7 +66,7 @@
 	sampled [sampleSize]blackboard.Host // uniform sample
 	healthy [sampleSize]bool            // live and not unconfirmed
 
-	kept   [neighbours]blackboard.Host // the healthy neighbours
+	kept   [neighbours]blackboard.Host // healthy neighbours of this host
 	weight [neighbours]uint64
 	n      int
 }
--- a/peer/quota.go
+++ b/peer/quota.go
@@ -94,8 +94,8 @@
 	return names
 }
 
-// isStableHolder reports whether this host holds a team's limit even with unconfirmed hosts counted. A
-// host that stands in for another can't know what that one has admitted.
+// isStableHolder reports whether this host holds a team's limit even with unconfirmed hosts
+// counted. A host that stands in for another can't know what that one has admitted.
 func (r *Router) isStableHolder(team uint32, now time.Time) bool {
 	h, ok := r.board.Hosts.FirstSteady(teamKey(team), r.board.Settings.Domain, now)
 	return ok && h.Number == r.board.Number
--- a/publish/evacuate.go
+++ b/publish/evacuate.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// applyEvacuations applies the evacuations that a watch returned.
+// applyEvacuations applies the evacuations of a watch's answer.
 func (f *Follower) applyEvacuations(c *Changes) {
 	for _, e := range c.Evacuated {
 		f.evacuations[e.Domain] = e
