--- a/peer/document_test.go
+++ b/peer/document_test.go
@@ -51,8 +51,8 @@
 	more := documentOf(2800, 1000)
 	cases := []struct {
 		name     string
-		asker    [][]byte
-		giver    [][]byte
+		receiver [][]byte
+		source   [][]byte
 		maxBytes int // maximum packed size in bytes
 		whole    bool
 	}{
@@ -65,7 +65,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			receiver, source := tableWith(t, tc.asker...), tableWith(t, tc.giver...)
+			receiver, source := tableWith(t, tc.receiver...), tableWith(t, tc.source...)
 			want, has := source.Newest(), receiver.Newest()
 			base := source.Source(has.Revision)
 			if base != nil && base.Sum != has.Sum {
