--- a/entry/answer.go
+++ b/entry/answer.go
@@ -15,31 +15,31 @@
 	"github.com/embercove/embercove/result"
 )
 
-// answer writes a job's answer to its caller, as a stream or whole. It
-// counts the tokens, so that a resumed answer goes on where it stopped.
+// answer writes a job's answer to its caller, streamed or whole. It counts the tokens, so
+// that a resumed answer continues where it stopped.
 type answer struct {
-	w      http.ResponseWriter
-	rc     *http.ResponseController
-	id     string
-	model  string
-	chat   bool
-	stream bool
-	prompt int // tokens
-
-	sent   int // tokens relayed or gathered
+	w            http.ResponseWriter
+	controller   *http.ResponseController
+	id           string
+	model        string
+	chat         bool
+	stream       bool
+	promptTokens int // in tokens
+
+	sent   int // tokens relayed or collected
 	opened bool
 	text   strings.Builder // of an answer that is sent whole
-	finish string          // reason given with the last token; empty before it
+	finish string          // finish reason given with the last token; empty before it
 	first  time.Time
 	last   time.Time
 }
 
 func newAnswer(w http.ResponseWriter, j *job, chat bool) *answer {
-	return &answer{w: w, rc: http.NewResponseController(w), id: j.id.String(), model: j.work.Model, chat: chat,
-		stream: j.work.Stream, prompt: j.tokens}
+	return &answer{w: w, controller: http.NewResponseController(w), id: j.id.String(), model: j.work.Model, chat: chat,
+		stream: j.work.Stream, promptTokens: j.tokens}
 }
 
-// The shapes of the OpenAI API that callers' libraries read.
+// Response shapes of the OpenAI API.
 type (
 	textChoice struct {
 		Index        int     `json:"index"`
@@ -91,18 +91,20 @@
 	return "text_completion"
 }
 
-func (a *answer) pieces() int      { return a.sent }
-func (a *answer) lastMark() string { return "" }
-func (a *answer) complete() bool   { return a.finish != "" }
+func (a *answer) chunks() int         { return a.sent }
+func (a *answer) lastEventID() string { return "" }
+func (a *answer) complete() bool      { return a.finish != "" }
 
-// open implements reply. The head is this interface's own.
-func (a *answer) open(*endpoint.AnswerHead) {}
+// sendHead implements replyWriter. This interface writes its own response head.
+func (a *answer) sendHead(*endpoint.AnswerHead) {}
 
-// whole implements reply. Engines of completions answer in pieces.
-func (a *answer) whole(*endpoint.Answer) error { return errors.New("a completion came in one piece") }
+// sendWhole implements replyWriter. Engines answer completions in chunks.
+func (a *answer) sendWhole(*endpoint.Answer) error {
+	return errors.New("a completion arrived unstreamed")
+}
 
-// begin sends the head of a streamed answer, before its first event.
-func (a *answer) begin() {
+// startStream sends the head of a streamed answer, before its first event.
+func (a *answer) startStream() {
 	if a.opened {
 		return
 	}
@@ -112,8 +114,8 @@
 	a.w.WriteHeader(http.StatusOK)
 }
 
-// piece implements reply: it passes on the next token.
-func (a *answer) piece(c *endpoint.Chunk) error {
+// sendChunk implements replyWriter: it forwards the next token.
+func (a *answer) sendChunk(c *endpoint.Chunk) error {
 	text, finish := c.Choices[0].Text, c.Choices[0].FinishReason
 	now := time.Now()
 	if a.sent == 0 {
@@ -128,11 +130,11 @@
 		a.text.WriteString(text)
 		return nil
 	}
-	a.begin()
+	a.startStream()
 	return a.event("", completion{ID: a.id, Object: a.object(), Model: a.model, Choices: a.choices(text, finish)})
 }
 
-// event writes one server-sent event.
+// event writes one server-sent event and flushes it.
 func (a *answer) event(name string, v any) error {
 	b, err := json.Marshal(v)
 	if err != nil {
@@ -144,35 +146,35 @@
 	if _, err := fmt.Fprintf(a.w, "data: %s\n\n", b); err != nil {
 		return err
 	}
-	return a.rc.Flush()
+	return a.controller.Flush()
 }
 
-// end implements reply.
+// end implements replyWriter.
 func (a *answer) end() {
 	if a.stream {
-		a.begin()
+		a.startStream()
 		fmt.Fprint(a.w, "data: [DONE]\n\n")
-		_ = a.rc.Flush()
+		_ = a.controller.Flush()
 		return
 	}
-	u := &usage{PromptTokens: a.prompt, CompletionTokens: a.sent, TotalTokens: a.prompt + a.sent}
+	u := &usage{PromptTokens: a.promptTokens, CompletionTokens: a.sent, TotalTokens: a.promptTokens + a.sent}
 	writeJSON(a.w, http.StatusOK, completion{ID: a.id, Object: a.object(), Model: a.model, Choices: a.choices(a.text.String(), a.finish), Usage: u})
 }
 
-// fail implements reply. A stream that has begun gets an error
-// event and then a cut connection, so that nothing takes it for whole.
+// fail implements replyWriter. A stream that has begun gets an error event and then a
+// closed connection, so that no client takes it for complete.
 func (a *answer) fail(err *result.Error) {
 	if !a.opened {
 		writeError(a.w, err)
 		return
 	}
-	_ = a.event("error", problem(err))
+	_ = a.event("error", errorBody(err))
 	panic(http.ErrAbortHandler)
 }
 
-// times implements reply.
+// times implements replyWriter.
 func (a *answer) times(came time.Time) (ttft, tpot time.Duration) {
-	return pieceTimes(came, a.first, a.last, a.sent)
+	return chunkTimes(came, a.first, a.last, a.sent)
 }
 
 // Problem is the body of every refusal and error.
@@ -180,8 +182,8 @@
 	Error ProblemDetail `json:"error"`
 }
 
-// ProblemDetail names the numbered code, whether the request ran and when to
-// come back.
+// ProblemDetail holds the numbered code, whether the request is known not to have run, and
+// when to retry.
 type ProblemDetail struct {
 	Code        int    `json:"code"`
 	Name        string `json:"name"`
@@ -190,7 +192,7 @@
 	RetryMillis int64  `json:"retry_after_ms"`
 }
 
-func problem(e *result.Error) Problem {
+func errorBody(e *result.Error) Problem {
 	return Problem{ProblemDetail{Code: int(e.Code), Name: e.Code.String(), Message: e.Detail, NotRun: e.NotRun(),
 		RetryMillis: e.RetryAfter.Milliseconds()}}
 }
@@ -199,7 +201,7 @@
 	if e.RetryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(e.RetryAfter.Seconds()))))
 	}
-	writeJSON(w, e.Code.Info().Status, problem(e))
+	writeJSON(w, e.Code.Info().Status, errorBody(e))
 }
 
 func writeJSON(w http.ResponseWriter, status int, v any) {
--- a/entry/away.go
+++ b/entry/away.go
@@ -12,75 +12,79 @@
 	"github.com/embercove/embercove/route"
 )
 
-// A request that its own region can't serve in time may leave for another: the whole of
-// it, prompt and answer, to one region, once for each try. This host talks to the endpoints
-// there itself, so nobody can send it on.
-
-// away is where a request is outside of its region.
-type away struct {
-	region string         // empty: at home
-	home   config.Regions // where it came from
+// A request that its own region can't serve in time may be redirected to another: as a
+// whole, prompt and answer, to one region, once per try. This host calls the endpoints
+// there itself, so no host there can redirect the request any further.
+
+// redirect describes where a job runs outside its local region.
+type redirect struct {
+	region string         // empty: not redirected
+	home   config.Regions // the local region
 	detour time.Duration
 }
 
-// How far a request is carried round in regions.
+// Limits on redirecting one request.
 const (
-	mostAway = 2 // regions that are tried
-	awayAsks = 4 // prefill engines that are asked there, each for a message there and back
+	maxRemoteRegions  = 2 // regions that are tried
+	remoteEnqueueAsks = 4 // prefill engines asked there; each ask costs a cross-region round trip
 )
 
-// Forecasts are means, so of the requests that wait for half of the time they have left many
-// come too late: for readers, and then there is no time to leave for want of memory; calls of
-// plain services vary in themselves. They leave before their own region is asked if
-// elsewhere, the way included, they wait so much less.
+// Forecasts are means, so many requests that wait for half of their remaining time finish
+// too late. With prefill queues, no time is then left to redirect when decode memory turns
+// out to be short; calls of plain services vary in duration by themselves. Such requests
+// are redirected before their own region is asked, if the wait elsewhere, round trips
+// included, is shorter by this factor.
 const (
-	leavePart = 0.4 // of the time that is left
-	fasterBy  = 1.5
+	redirectWaitShare = 0.4 // of the time that is left
+	minRemoteSpeedup  = 1.5
 )
 
-// faster returns how long a request may wait elsewhere that waits so long at home.
-func faster(here time.Duration) time.Duration { return time.Duration(float64(here) / fasterBy) }
+// maxRemoteWait returns how long a request may wait in another region if it would wait for
+// here locally.
+func maxRemoteWait(here time.Duration) time.Duration {
+	return time.Duration(float64(here) / minRemoteSpeedup)
+}
 
-// Messages there and back that a request pays for outside of its region.
+// Round trips that a redirected request pays for.
 const (
-	engineTrips  = 6 // turn, room, and a connection and a call at each of two engines
-	serviceTrips = 2 // a connection and a call
+	engineRoundTrips  = 6 // prefill slot, decode memory, and a connection and a call at each of two engines
+	serviceRoundTrips = 2 // a connection and a call
 )
 
-// goHome has a job look for endpoints in its own region.
-func (e *Entry) goHome(j *job) {
-	if !j.abroad() {
+// returnToLocalRegion makes a job look for endpoints in its local region again.
+func (e *Entry) returnToLocalRegion(j *job) {
+	if !j.redirected() {
 		return
 	}
-	j.pick.Region = j.away.home
-	j.away = away{}
+	j.criteria.Region = j.redirect.home
+	j.redirect = redirect{}
 }
 
-// home returns the region of the host to which the job came.
-func (j *job) home() config.Regions {
-	if j.abroad() {
-		return j.away.home
+// localRegion returns the region of the host that received the job.
+func (j *job) localRegion() config.Regions {
+	if j.redirected() {
+		return j.redirect.home
 	}
-	return j.pick.Region
+	return j.criteria.Region
 }
 
-// reach returns the regions that the job goes to without leaving: its own, and where that
-// is none of its homes, those.
-func (j *job) reach() config.Regions { return j.home() | j.pick.Reach }
+// localRegions returns the regions that the job uses without being redirected: its own and,
+// if that isn't an allowed region, the allowed ones.
+func (j *job) localRegions() config.Regions { return j.localRegion() | j.criteria.Reach }
 
-// candidate is another region with what the decision is made of.
+// candidate is another region with the data that the redirect decision needs.
 type candidate struct {
 	name  string
 	set   config.Regions
 	pool  uint32
-	hosts int // of it
+	hosts int // live hosts in the region
 	region.There
 }
 
-// leave chooses the region that a job leaves for and has it look for endpoints there. The
-// regions in tried are out of the question. It returns false if the job stays.
-func (e *Entry) leave(j *job, n region.Need, trips int, tried config.Regions, list func(g *route.Group) []*route.State) bool {
-	found := e.elsewhere(j, trips, tried, list)
+// redirectJob chooses a region for a job and makes it look for endpoints there. Regions in
+// tried are skipped. It returns false if the job isn't redirected.
+func (e *Entry) redirectJob(j *job, n region.Need, trips int, tried config.Regions, list func(g *route.Group) []*route.State) bool {
+	found := e.remoteCandidates(j, trips, tried, list)
 	if len(found) == 0 {
 		return false
 	}
@@ -89,28 +93,28 @@
 		theres[i] = found[i].There
 	}
 	to, verdicts := region.Choose(n, theres, rand.Float64(), rand.Float64())
-	j.regions = describe(found, verdicts, to)
+	j.regionLog = describeChoice(found, verdicts, to)
 	if to < 0 {
 		for _, v := range verdicts {
 			e.board.Regions.Keep(v)
 		}
 		return false
 	}
-	e.goHome(j)
+	e.returnToLocalRegion(j)
 	c := &found[to]
-	j.away = away{region: c.name, home: j.pick.Region, detour: c.Detour}
+	j.redirect = redirect{region: c.name, home: j.criteria.Region, detour: c.Detour}
 	e.board.Regions.Leave(config.NameNumber(c.name), c.pool)
-	j.pick.Region = c.set
+	j.criteria.Region = c.set
 	return true
 }
 
-// alone reports whether there is no other region.
-func (e *Entry) alone() bool { return len(e.board.Config.View().RegionNames) < 2 }
+// singleRegion reports whether there is no other region.
+func (e *Entry) singleRegion() bool { return len(e.board.Config.View().RegionNames) < 2 }
 
-// elsewhere returns the other regions that a job's request may be sent to at all, with
-// what is known of them.
-func (e *Entry) elsewhere(j *job, trips int, tried config.Regions, list func(g *route.Group) []*route.State) (out []candidate) {
-	if e.alone() {
+// remoteCandidates returns the other regions that a job's request may be sent to, with what
+// is known of each.
+func (e *Entry) remoteCandidates(j *job, trips int, tried config.Regions, list func(g *route.Group) []*route.State) (out []candidate) {
+	if e.singleRegion() {
 		return nil
 	}
 	now := time.Now()
@@ -121,16 +125,16 @@
 		if g == nil || len(v.RegionNames) < 2 {
 			return
 		}
-		r := j.pick
-		r.Region, r.Now, r.Reach = j.home(), now, 0
-		e.bind(v, j, &r)
+		r := j.criteria
+		r.Region, r.Now, r.Reach = j.localRegion(), now, 0
+		e.bindRegions(v, j, &r)
 		out = candidates(e.board, v, list(g), r, hosts, trips, tried)
 	})
 	return out
 }
 
-// candidates returns the regions but the request's own and those that were tried, with what
-// is known of each.
+// candidates returns all regions but the request's own and the tried ones, with what is
+// known of each.
 func candidates(b *blackboard.Board, v *config.View, list []*route.State, r route.Request, hosts map[string]int, trips int, tried config.Regions) (out []candidate) {
 	for _, name := range v.RegionNames {
 		set := v.RegionSet(name)
@@ -138,34 +142,34 @@
 			continue
 		}
 		c := candidate{name: name, set: set, hosts: hosts[name]}
-		c.look(b, list, r, trips)
+		c.observe(b, list, r, trips)
 		out = append(out, c)
 	}
-	askersOf(out, hosts[b.Settings.Region])
+	countRequesters(out, hosts[b.Settings.Region])
 	return out
 }
 
-// RegionChoice says whether a request would leave for a region.
+// RegionChoice says whether a request would be redirected to a region, and why.
 type RegionChoice struct {
 	Region string `json:"region"`
 	Why    string `json:"why"`
 }
 
-// ExplainRegions says for each other region whether a request for engines would leave for
-// it, if its own refused it now.
+// ExplainRegions says for each other region whether an engine request would be redirected
+// to it if its own region refused it now.
 func ExplainRegions(b *blackboard.Board, v *config.View, r route.Request, hosts map[string]int) (out []RegionChoice) {
 	if len(v.RegionNames) < 2 {
 		return nil
 	}
-	n := region.Need{Left: time.Duration(aim * float64(v.Doc.Targets.TTFT())), Work: workOf(v, r.Group, r.Tokens, r.Model)}
-	for _, c := range candidates(b, v, engines(r.Group), r, hosts, engineTrips, 0) {
+	n := region.Need{Left: time.Duration(targetShare * float64(v.Doc.Targets.TTFT())), Work: engineWork(v, r.Group, r.Tokens, r.Model)}
+	for _, c := range candidates(b, v, requiredEngines(r.Group), r, hosts, engineRoundTrips, 0) {
 		out = append(out, RegionChoice{c.name, region.Judge(n, &c.There, 0).String()})
 	}
 	return out
 }
 
-// look fills in what is known of a region for a request.
-func (c *candidate) look(b *blackboard.Board, list []*route.State, r route.Request, trips int) {
+// observe fills in what is known of a region for a request.
+func (c *candidate) observe(b *blackboard.Board, list []*route.State, r route.Request, trips int) {
 	r.Region, r.Reach = c.set, 0
 	open := 0
 	for _, s := range list {
@@ -188,9 +192,9 @@
 	c.Detour = time.Duration(trips) * b.Regions.Trip(number)
 }
 
-// askersOf works out for each region how many hosts want what it offers: those of the own
-// region, and of others that offer nothing themselves.
-func askersOf(found []candidate, own int) {
+// countRequesters computes for each region how many hosts compete for its capacity: those
+// of the own region, and those of other regions that have no capacity themselves.
+func countRequesters(found []candidate, own int) {
 	for i := range found {
 		c := &found[i]
 		c.Askers = own
@@ -202,8 +206,8 @@
 	}
 }
 
-// describe says of each region why the request goes there, or not.
-func describe(found []candidate, verdicts []region.Verdict, to int) string {
+// describeChoice says for each region why the request is redirected there or not.
+func describeChoice(found []candidate, verdicts []region.Verdict, to int) string {
 	var b strings.Builder
 	for i, c := range found {
 		if i > 0 {
@@ -217,38 +221,39 @@
 	return b.String()
 }
 
-// abroad reports whether the job looks for endpoints outside of its region because that has
-// no place for it.
-func (j *job) abroad() bool { return j.away.region != "" }
+// redirected reports whether the job looks for endpoints in a remote region because its own
+// has no capacity for it.
+func (j *job) redirected() bool { return j.redirect.region != "" }
 
-// needs returns what a request to engines needs outside of its region, after its own has
+// remoteNeed returns what an engine request needs in another region, after its own has
 // refused it.
-func (e *Entry) needs(j *job, refusal result.Code) region.Need {
+func (e *Entry) remoteNeed(j *job, refusal result.Code) region.Need {
 	n := region.Need{Left: j.slack(), Homeless: refusal == result.NoEndpoint || refusal == result.Evacuated}
 	e.board.Endpoints.Read(func(fleet *route.Fleet) {
 		v := fleet.View
 		if g := j.group(fleet); g != nil {
-			n.Work = workOf(v, g, j.tokens, j.work.Model)
+			n.Work = engineWork(v, g, j.tokens, j.work.Model)
 		}
 	})
 	return n
 }
 
-// engines lists a group's engines of which a request needs one at the least.
-func engines(g *route.Group) []*route.State {
+// requiredEngines lists engines of a group of which a request needs at least one.
+func requiredEngines(g *route.Group) []*route.State {
 	if list := g.Prefill.All(); len(list) > 0 {
 		return list
 	}
 	return g.Decode.All()
 }
 
-// workOf returns how long a group's engines take to read a prompt and to move it.
-func workOf(v *config.View, g *route.Group, tokens int, model string) (d time.Duration) {
+// engineWork returns how long a group's engines take to prefill a prompt and to transfer
+// its KV cache.
+func engineWork(v *config.View, g *route.Group, tokens int, model string) (d time.Duration) {
 	if list := g.Prefill.All(); len(list) > 0 {
 		d += time.Duration(float64(tokens) / list[0].Spec.TokensPerSecond * float64(time.Second))
 	}
 	if list := g.Decode.All(); len(list) > 0 {
-		d += route.LinkTime(list[0].Spec, int64(tokens)*kvBytes(v, model))
+		d += route.LinkTime(list[0].Spec, int64(tokens)*kvBytesPerToken(v, model))
 	}
 	return d
 }
--- a/entry/away_state_test.go
+++ b/entry/away_state_test.go
@@ -21,19 +21,19 @@
 	"github.com/embercove/embercove/route"
 )
 
-// askedOwners refuses as it is told, and writes down who was asked for a turn.
-type askedOwners struct {
+// scriptedOwners refuses as configured, and records who was asked for a prefill slot.
+type scriptedOwners struct {
 	*leavingScene
-	full     int           // asks for room that are refused with a wait of fullFor
-	fullFor  time.Duration // after which there is room
-	late     string        // the prefill engine that refuses turns, after lateFor
-	lateFor  time.Duration
-	turnAsks []string
+	refusals   int           // reserve calls refused with a retry time of refusedFor
+	refusedFor time.Duration // after which there is memory
+	lateEngine string        // the prefill engine that refuses slots, after lateFor
+	lateFor    time.Duration
+	enqueued   []string
 }
 
-func (s *askedOwners) Enqueue(_ context.Context, spec *config.Endpoint, a owner.EnqueueArgs) (owner.EnqueueReply, error) {
-	s.turnAsks = append(s.turnAsks, fmt.Sprintf("%s in %d", spec.Name, a.NotYet))
-	if spec.Name == s.late {
+func (s *scriptedOwners) Enqueue(_ context.Context, spec *config.Endpoint, a owner.EnqueueArgs) (owner.EnqueueReply, error) {
+	s.enqueued = append(s.enqueued, fmt.Sprintf("%s in %d", spec.Name, a.NotYet))
+	if spec.Name == s.lateEngine {
 		time.Sleep(s.lateFor)
 		return owner.EnqueueReply{Code: result.TooLate, Retry: 5000}, nil
 	}
@@ -41,102 +41,104 @@
 	return owner.EnqueueReply{Code: result.OK}, nil
 }
 
-func (s *askedOwners) Reserve(context.Context, *config.Endpoint, owner.ReserveArgs) (owner.ReserveReply, error) {
-	if s.full > 0 {
-		s.full--
-		return owner.ReserveReply{Code: result.NoDecodeMemory, Retry: ms(s.fullFor)}, nil
+func (s *scriptedOwners) Reserve(context.Context, *config.Endpoint, owner.ReserveArgs) (owner.ReserveReply, error) {
+	if s.refusals > 0 {
+		s.refusals--
+		return owner.ReserveReply{Code: result.NoDecodeMemory, Retry: ms(s.refusedFor)}, nil
 	}
 	return owner.ReserveReply{Code: result.OK}, nil
 }
 
-// awayScene returns an entry in region r, a job there, and owners in r and s. s offers places.
-func awayScene(t *testing.T, homes string) (*Entry, *job, *askedOwners) {
-	s := &askedOwners{leavingScene: homesScene(t, homes, "")}
+// newRemoteScene returns an entry in region r, a job there, and owners in r and s. Region s
+// reports free capacity.
+func newRemoteScene(t *testing.T, homes string) (*Entry, *job, *scriptedOwners) {
+	s := &scriptedOwners{leavingScene: newTwoRegionScene(t, homes, "")}
 	v := s.board.Config.View()
 	s.board.Regions.Learn(region.Summary{Region: config.NameNumber("s"), Pool: region.PoolNumber("p", "m"), Places: 50}, time.Now())
 	e := New(s.board, s, s, report.NewRecorder(), zap.NewNop())
 	j := promptedJob(e, v, v.Teams["t"])
-	j.out = newPassage(httptest.NewRecorder(), writeError)
+	j.reply = newPassthrough(httptest.NewRecorder(), writeError)
 	return e, j, s
 }
 
-// TestHomesAskedOnce checks that a request which goes to its homes in other regions in any
-// case doesn't leave for them once more after they refused it.
+// TestHomesAskedOnce checks that a request whose allowed regions are all remote isn't
+// redirected to them once more after they refused it: it uses them from the start.
 func TestHomesAskedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e, j, s := awayScene(t, `"s"`)
-		s.late = "p2"
+		e, j, s := newRemoteScene(t, `"s"`)
+		s.lateEngine = "p2"
 		if _, err := e.place(t.Context(), j); err == nil {
-			t.Error("placed without a turn")
+			t.Error("placed without a slot")
 		}
-		if left := s.board.Regions.Left(config.NameNumber("s")); left != 0 || len(s.turnAsks) != 1 {
-			t.Errorf("left %d times, asked for a turn %v; want one ask", left, s.turnAsks)
+		if left := s.board.Regions.Left(config.NameNumber("s")); left != 0 || len(s.enqueued) != 1 {
+			t.Errorf("redirected %d times, requested slots %v; want one request", left, s.enqueued)
 		}
 	})
 }
 
-// TestPairOfATry checks that a try doesn't look for endpoints where the prompt was read in
-// the one before: else it doesn't see that its own region would have it wait.
+// TestPairOfATry checks that a try doesn't stick to the region in which the try before
+// prefilled the prompt. Otherwise it doesn't notice that it would have to wait in its own
+// region.
 func TestPairOfATry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e, j, s := awayScene(t, "")
+		e, j, s := newRemoteScene(t, "")
 		s.board.Endpoints.Learn(route.Digest{Number: route.Number("p1"), QueueMillis: 700}, time.Now())
-		j.pick.Pair = j.view.RegionSet("s")
+		j.criteria.Pair = j.view.RegionSet("s")
 		if _, err := e.place(t.Context(), j); err != nil {
 			t.Error(err)
 		}
-		if want := []string{"p2 in 0"}; !slices.Equal(s.turnAsks, want) {
-			t.Errorf("asked for a turn %v, want %v", s.turnAsks, want)
+		if want := []string{"p2 in 0"}; !slices.Equal(s.enqueued, want) {
+			t.Errorf("requested slots %v, want %v", s.enqueued, want)
 		}
 	})
 }
 
-// TestRoomAfterAway checks that a request which was refused elsewhere while it waits for
-// room at home waits until there is room, not so long once more.
+// TestRoomAfterAway checks that a request which is refused in another region while it waits
+// for local memory then waits only for the rest of the time, not for all of it again.
 func TestRoomAfterAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e, j, s := awayScene(t, "")
-		s.full, s.fullFor, s.late, s.lateFor = 1, 200*time.Millisecond, "p2", 120*time.Millisecond
+		e, j, s := newRemoteScene(t, "")
+		s.refusals, s.refusedFor, s.lateEngine, s.lateFor = 1, 200*time.Millisecond, "p2", 120*time.Millisecond
 		if _, err := e.place(t.Context(), j); err != nil {
 			t.Error(err)
 		}
-		if want := []string{"p1 in 0", "p2 in 0", "p1 in 80"}; !slices.Equal(s.turnAsks, want) {
-			t.Errorf("asked for a turn %v, want %v", s.turnAsks, want)
+		if want := []string{"p1 in 0", "p2 in 0", "p1 in 80"}; !slices.Equal(s.enqueued, want) {
+			t.Errorf("requested slots %v, want %v", s.enqueued, want)
 		}
 	})
 }
 
-// TestAwayOnce checks that a region which refused a request is not asked again in the same
-// try, though the request may leave early, while it waits for room and at the end.
+// TestAwayOnce checks that a region which refused a request isn't asked again in the same
+// try. A request may be redirected early, while it waits for memory and at the end.
 func TestAwayOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e, j, s := awayScene(t, "")
+		e, j, s := newRemoteScene(t, "")
 		s.board.Endpoints.Learn(route.Digest{Number: route.Number("p1"), QueueMillis: 700}, time.Now())
-		s.full, s.fullFor, s.late = 3, 150*time.Millisecond, "p2"
+		s.refusals, s.refusedFor, s.lateEngine = 3, 150*time.Millisecond, "p2"
 		_, _ = e.place(t.Context(), j)
 		asks := 0
-		for _, ask := range s.turnAsks {
+		for _, ask := range s.enqueued {
 			if ask == "p2 in 0" {
 				asks++
 			}
 		}
-		if asks != 1 || len(s.turnAsks) < 2 {
-			t.Errorf("asked for a turn %v, want the other region's once", s.turnAsks)
+		if asks != 1 || len(s.enqueued) < 2 {
+			t.Errorf("requested slots %v, want the other region's once", s.enqueued)
 		}
 	})
 }
 
-// TestOneRegionCostsNothing checks that a refusal in a deployment of one region doesn't go
-// through its hosts to find where else the request could go: refusals come in bursts.
+// TestOneRegionCostsNothing checks that a refusal in a deployment of one region doesn't
+// scan the hosts for other regions: refusals come in bursts.
 func TestOneRegionCostsNothing(t *testing.T) {
-	e, j := placing(t, new(stubOwners), 1, 1)
+	e, j := newPlacement(t, new(stubOwners), 1, 1)
 	now := time.Now()
 	for i := range 350 {
 		name := fmt.Sprintf("h%d", i)
 		e.board.Hosts.Learn(blackboard.Host{Name: name, Number: request.HostNumber(name), Domain: "a", Region: "r", Incarnation: 1, Beat: 1}, now)
 	}
-	n := e.needs(j, result.TooLate)
-	if got := testing.AllocsPerRun(10, func() { e.placeAway(t.Context(), j, n, mostAway, j.reach()) }); got > 0 {
+	n := e.remoteNeed(j, result.TooLate)
+	if got := testing.AllocsPerRun(10, func() { e.placeRemote(t.Context(), j, n, maxRemoteRegions, j.localRegions()) }); got > 0 {
 		t.Errorf("%g allocations", got)
 	}
 }
--- a/entry/away_test.go
+++ b/entry/away_test.go
@@ -13,13 +13,13 @@
 	"github.com/embercove/embercove/route"
 )
 
-const awayDocument = `{"failure_domains": [{"name": "a", "region": "north"}, {"name": "b", "region": "south"}, {"name": "c", "region": "west"}],
+const regionDocument = `{"failure_domains": [{"name": "a", "region": "north"}, {"name": "b", "region": "south"}, {"name": "c", "region": "west"}],
 "targets": {"ttft_ms": 300, "tpot_ms": 10}, "teams": [{"name": "t", "regions": ["north", "west"]}],
 "pools": [{"name": "web", "takes_not_repeatable": true}],
 "routes": [{"name": "page", "host": "h", "path_prefix": "/", "pools": [{"pool": "web", "weight": 1}]}]}`
 
-// TestCallLeaves states what a host in the north has seen of its own two endpoints of a
-// service, and was told of the south and the west, and where a call goes.
+// TestCallLeaves sets what a host in the north observed of its own two endpoints of a
+// service and received about the south and the west, and checks where a call goes.
 func TestCallLeaves(t *testing.T) {
 	const ms = time.Millisecond
 	south, west := config.NameNumber("south"), config.NameNumber("west")
@@ -41,39 +41,39 @@
 		see  func(s *scene)
 		want string // region of the endpoint; empty: none
 	}{
-		{"fast at home", slow(60 * ms), "north"},
-		{"too slow at home", slow(400 * ms), "south"},
+		{"fast locally", slow(60 * ms), "north"},
+		{"too slow locally", slow(400 * ms), "south"},
 		{"much slower than elsewhere", slow(220 * ms), "south"},
-		{"slower, but the way costs more", slow(130 * ms), "north"},
-		{"full at home", func(s *scene) {
+		{"slower, but the round trips cost more", slow(130 * ms), "north"},
+		{"full locally", func(s *scene) {
 			all(s, func(st *route.State) { st.Seen.Full = time.Now().Add(time.Second) })
 		}, "south"},
 		{"both refused it, and it is fast elsewhere", func(s *scene) {
 			slow(60 * ms)(s)
-			all(s, func(st *route.State) { s.j.pick.Drop(st.Number) })
+			all(s, func(st *route.State) { s.j.criteria.Drop(st.Number) })
 		}, "south"},
 		{"both refused it, and it is slow elsewhere", func(s *scene) {
-			all(s, func(st *route.State) { s.j.pick.Drop(st.Number) })
+			all(s, func(st *route.State) { s.j.criteria.Drop(st.Number) })
 			s.b.Regions.Learn(region.Summary{Region: south, Pool: region.PoolNumber("web", ""), Places: 5, WaitMillis: 180}, time.Now().Add(time.Second))
 		}, ""},
-		{"none at home", leave, "south"},
-		{"none at home, nothing told", func(s *scene) { leave(s); s.b.Regions.Drop() }, "south"},
-		{"too slow at home, nothing told", func(s *scene) { slow(400 * ms)(s); s.b.Regions.Drop() }, "north"},
+		{"no local endpoint", leave, "south"},
+		{"no local endpoint, nothing reported", func(s *scene) { leave(s); s.b.Regions.Drop() }, "south"},
+		{"too slow locally, nothing reported", func(s *scene) { slow(400 * ms)(s); s.b.Regions.Drop() }, "north"},
 		{"too slow everywhere", func(s *scene) {
 			slow(400 * ms)(s)
 			s.b.Regions.Learn(region.Summary{Region: south, Pool: region.PoolNumber("web", ""), Places: 5, WaitMillis: 350}, time.Now().Add(time.Second))
 		}, "north"},
-		{"too slow at home, little time left", func(s *scene) { slow(400 * ms)(s); s.j.came = time.Now().Add(-220 * ms) }, "north"},
-		{"none at home, too late in any case", func(s *scene) { leave(s); s.j.came, s.j.deadline = time.Now().Add(-time.Second), 3*time.Second }, "south"},
-		{"none at home, the owner in the south is silent", func(s *scene) { leave(s); s.b.Regions.Missed(south, time.Now()) }, ""},
-		{"none at home, its homes are elsewhere", func(s *scene) { leave(s); s.j.headers.team = s.j.view.Teams["t"] }, ""},
+		{"too slow locally, little time left", func(s *scene) { slow(400 * ms)(s); s.j.arrived = time.Now().Add(-220 * ms) }, "north"},
+		{"no local endpoint, too late in any case", func(s *scene) { leave(s); s.j.arrived, s.j.deadline = time.Now().Add(-time.Second), 3*time.Second }, "south"},
+		{"no local endpoint, the owner in the south is unreachable", func(s *scene) { leave(s); s.b.Regions.Missed(south, time.Now()) }, ""},
+		{"no local endpoint, its allowed regions are elsewhere", func(s *scene) { leave(s); s.j.headers.team = s.j.view.Teams["t"] }, ""},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			s := &config.Settings{Host: "h", Domain: "a", Region: "north"}
 			s.SetDefaults()
 			b := blackboard.New(s)
-			if _, err := b.Config.Offer(1, []byte(awayDocument)); err != nil {
+			if _, err := b.Config.Offer(1, []byte(regionDocument)); err != nil {
 				t.Fatal(err)
 			}
 			roster := &config.RosterList{Revision: 1}
@@ -91,21 +91,21 @@
 			}
 			pool := region.PoolNumber("web", "")
 			b.Regions.Learn(region.Summary{Region: south, Pool: pool, Places: 5, WaitMillis: 60}, now)
-			b.Regions.Learn(region.Summary{Region: west, Pool: pool, Places: 50, WaitMillis: 10}, now) // where no endpoint is any more
+			b.Regions.Learn(region.Summary{Region: west, Pool: pool, Places: 50, WaitMillis: 10}, now) // it has no endpoints any more
 			b.Regions.Took(south, 16*ms)
 			e := &Entry{board: b}
-			j := &job{headers: headers{team: defaultTeam}, view: v, route: v.RouteFor("h", "/x"), pool: "web", tries: 1, came: now,
-				pick: route.Request{Home: v.DomainIndex("a"), Region: v.RegionSet("north")}}
+			j := &job{headers: headers{team: defaultTeam}, view: v, route: v.RouteFor("h", "/x"), pool: "web", tries: 1, arrived: now,
+				criteria: route.Request{Home: v.DomainIndex("a"), Region: v.RegionSet("north")}}
 			b.Endpoints.Read(func(fleet *route.Fleet) { tc.see(&scene{b, statesOf(fleet), j}) })
 			got := ""
 			if spec := e.chooseService(j); spec != nil {
 				got = v.Region[spec.Domain]
 			}
 			if got != tc.want {
-				t.Errorf("called in %q, want %q; %s", got, tc.want, j.regions)
+				t.Errorf("called in %q, want %q; %s", got, tc.want, j.regionLog)
 			}
-			if left := strings.Contains(j.regions, "left for"); left != (got == "south") || left != j.abroad() {
-				t.Errorf("the log says %q of a call in %q", j.regions, got)
+			if left := strings.Contains(j.regionLog, "left for"); left != (got == "south") || left != j.redirected() {
+				t.Errorf("the log says %q of a call in %q", j.regionLog, got)
 			}
 		})
 	}
--- a/entry/barred.go
+++ b/entry/barred.go
@@ -19,31 +19,31 @@
 	"github.com/embercove/embercove/route"
 )
 
-// A request waits after its endpoints were chosen: for its turn, for its prompt,
-// for room. So each endpoint is looked at again just before it is called.
+// After its endpoints are chosen a request waits: for its prefill slot, for its prefill,
+// for decode memory. So each endpoint is checked again just before it is called.
 
-// bars returns why a job may no longer go to an endpoint that was chosen for it, by what
-// is in force now. What only tells how well it would be served there doesn't count: it
-// was chosen, and its owner gave it room.
-func (e *Entry) bars(j *job, spec *config.Endpoint) (b route.Bar) {
+// barFor returns why a job may no longer use an endpoint that was chosen for it, by the
+// current state. Bars that only say how well the endpoint would serve the request don't
+// count: the endpoint was chosen, and its owner granted capacity.
+func (e *Entry) barFor(j *job, spec *config.Endpoint) (b route.Bar) {
 	b = route.BarGone
-	r := j.pick
+	r := j.criteria
 	r.Now, r.Exclude = time.Now(), [route.MostExcluded]uint32{}
 	e.board.Endpoints.Find(route.Number(spec.Name), func(v *config.View, s *route.State) {
-		e.bind(v, j, &r)
+		e.bindRegions(v, j, &r)
 		b = route.Barred(s, &r)
 	})
 	switch b {
 	case route.BarGone, route.BarLeaving, route.BarDoubted, route.BarEvacuated, route.BarResting, route.BarHome:
-		e.barred.count(b)
+		e.barTotals.count(b)
 		return b
 	}
 	return route.BarNone
 }
 
-// bind sets the regions that a job's request is bound to under a revision. Where its own
-// is none of them it may go to the others.
-func (e *Entry) bind(v *config.View, j *job, r *route.Request) {
+// bindRegions sets the regions that a job's request is allowed in under a revision. If its
+// own isn't one of them, it may use the allowed ones.
+func (e *Entry) bindRegions(v *config.View, j *job, r *route.Request) {
 	rv, team := v.RouteByName(j.route.Name), v.Teams[j.team.Name]
 	if rv == nil {
 		return
@@ -57,52 +57,53 @@
 	}
 }
 
-// barCounts counts, by bar, the requests that none of their endpoints was open to, and
-// the calls that weren't made as their endpoint was barred meanwhile.
+// barCounts counts, by bar, the requests that found all endpoints barred, and the calls
+// that weren't made because their endpoint was barred in the meantime.
 type barCounts struct {
-	mu sync.Mutex
-	by map[route.Bar]uint64
+	mu     sync.Mutex
+	counts map[route.Bar]uint64
 }
 
 func (c *barCounts) count(b route.Bar) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.by == nil {
-		c.by = map[route.Bar]uint64{}
+	if c.counts == nil {
+		c.counts = map[route.Bar]uint64{}
 	}
-	c.by[b]++
+	c.counts[b]++
 }
 
 // Barred returns how often a bar kept a request from its endpoints.
 func (e *Entry) Barred(b route.Bar) uint64 {
-	e.barred.mu.Lock()
-	defer e.barred.mu.Unlock()
-	return e.barred.by[b]
+	e.barTotals.mu.Lock()
+	defer e.barTotals.mu.Unlock()
+	return e.barTotals.counts[b]
 }
 
-// errBarred is why a call was not made.
-var errBarred = errors.New("the endpoint was barred while the request waited")
+// errBarred is the cause of a call that was not made.
+var errBarred = errors.New("the endpoint became unavailable while the request waited")
 
-// barredSince is the failure of a try whose endpoint was barred before it was called.
-func barredSince(spec *config.Endpoint, b route.Bar) *retryable {
-	refusal := result.Errorf(codeOf(b), "%s while the request waited: %s", spec.Name, b).After(time.Second)
-	return &retryable{name: spec.Name, unsent: b == route.BarResting, bar: b, refusal: refusal}
+// barredFailure is the failure of a try whose endpoint was barred before it was called.
+func barredFailure(spec *config.Endpoint, b route.Bar) *retryable {
+	refusal := result.Errorf(barCode(b), "%s while the request waited: %s", spec.Name, b).After(time.Second)
+	return &retryable{endpointName: spec.Name, notSent: b == route.BarResting, bar: b, refusal: refusal}
 }
 
-// mayCall returns why a call may not be made after all. It is asked last before each call.
-func (e *Entry) mayCall(j *job, spec *config.Endpoint) *retryable {
-	b := e.bars(j, spec)
+// admitCall returns why a call may not be made, or nil. It is the last check before each
+// call.
+func (e *Entry) admitCall(j *job, spec *config.Endpoint) *retryable {
+	b := e.barFor(j, spec)
 	if b == route.BarNone && !e.board.Endpoints.Admit(route.Number(spec.Name), time.Now()) {
 		b = route.BarResting
 	}
 	if b == route.BarNone {
 		return nil
 	}
-	return barredSince(spec, b)
+	return barredFailure(spec, b)
 }
 
-// codeOf returns the code of a refusal by one endpoint over what bars it.
-func codeOf(b route.Bar) result.Code {
+// barCode returns the result code for a bar at a single endpoint.
+func barCode(b route.Bar) result.Code {
 	switch b {
 	case route.BarCold:
 		return result.Cold
@@ -116,64 +117,66 @@
 	return result.EndpointRefused
 }
 
-// nowhere is the refusal of a job that no endpoint of a list is open to, with what bars
-// most of them.
-func (e *Entry) nowhere(j *job, what string, list func(g *route.Group) []*route.State) *result.Error {
+// noneOpen is the refusal of a job for which no endpoint of a list is open. It names the
+// bar of most of them.
+func (e *Entry) noneOpen(j *job, what string, list func(g *route.Group) []*route.State) *result.Error {
 	blamed := route.BarNone
 	var numbers []uint32
 	rest, resting := time.Duration(0), false
-	j.pick.Now = time.Now()
+	j.criteria.Now = time.Now()
 	e.board.Endpoints.Read(func(fleet *route.Fleet) {
 		v := fleet.View
 		if g := j.group(fleet); g != nil {
-			e.bind(v, j, &j.pick)
-			open := func(s *route.State) bool { return route.Open(s, &j.pick) }
-			if l := list(g); !slices.ContainsFunc(l, open) { // else no bar is why
-				blamed = route.Blame(l, &j.pick)
-				rest, resting = restBack(l, &j.pick)
+			e.bindRegions(v, j, &j.criteria)
+			open := func(s *route.State) bool { return route.Open(s, &j.criteria) }
+			if l := list(g); !slices.ContainsFunc(l, open) { // else no bar is the reason
+				blamed = route.Blame(l, &j.criteria)
+				rest, resting = backoffRetryAfter(l, &j.criteria)
 			}
 			for _, s := range list(g) {
 				numbers = append(numbers, s.Number)
 			}
 		}
 	})
-	e.barred.count(blamed)
+	e.barTotals.count(blamed)
 	switch blamed {
 	case route.BarEvacuated:
-		return result.Errorf(result.Evacuated, "no %s is open: %s", what, blamed).After(evacuatedBack)
+		return result.Errorf(result.Evacuated, "no %s is open: %s", what, blamed).After(evacuatedRetryAfter)
 	case route.BarCold, route.BarLimited:
-		return result.Errorf(codeOf(blamed), "no %s is open: %s", what, blamed).After(e.startBack(numbers))
+		return result.Errorf(barCode(blamed), "no %s is open: %s", what, blamed).After(e.permitRetryAfter(numbers))
 	case route.BarConnections:
-		return result.Errorf(result.TooLate, "no %s is open: %s", what, blamed).After(e.usualCall(numbers))
+		return result.Errorf(result.TooLate, "no %s is open: %s", what, blamed).After(e.fullRetryAfter(numbers))
 	case route.BarHome:
 		return result.Errorf(result.NoHome, "no %s is open: %s", what, blamed).After(time.Second)
 	}
 	if resting {
 		return result.Errorf(result.Resting, "no %s is open: %s", what, route.BarResting).After(rest)
 	}
-	return result.Errorf(result.NoEndpoint, "no %s that the route allows is in reach", what).After(time.Second)
+	return result.Errorf(result.NoEndpoint, "no %s that the route allows is reachable", what).After(time.Second)
 }
 
-// restBack returns when a caller is to come back for which some endpoints are open but for their
-// rest, if there are any: some time after the first rest ends, as one request goes there first.
-func restBack(list []*route.State, r *route.Request) (back time.Duration, resting bool) {
+// backoffRetryAfter returns when a caller should retry if some endpoints are barred only by
+// a backoff that they asked for, and whether there are any. It is some time after the first
+// backoff ends, as a single request is sent there first.
+func backoffRetryAfter(list []*route.State, r *route.Request) (back time.Duration, resting bool) {
 	back = time.Duration(math.MaxInt64)
 	for _, s := range list {
 		if route.Barred(s, r) == route.BarResting {
-			probe := time.Duration((callSpread + rand.Float64()) * max(s.Seen.Took, leastProbe) * float64(time.Second))
+			probe := time.Duration((minCallShare + rand.Float64()) * max(s.Seen.Took, minBackoffProbe) * float64(time.Second))
 			back, resting = min(back, max(0, s.Notices.Rest.Sub(r.Now))+probe), true
 		}
 	}
 	return back, resting
 }
 
-// leastProbe is the least time, in seconds, that the first request after a rest is taken to need.
-const leastProbe = 0.05
+// minBackoffProbe is the least time, in seconds, that the first request after a backoff is
+// assumed to take.
+const minBackoffProbe = 0.05
 
-// usualCall returns when a caller is to come back whose endpoints all have as many calls as they
-// take: after some part of the time of a usual call, by which one of them is over. It is spread,
-// as callers are refused together.
-func (e *Entry) usualCall(list []uint32) time.Duration {
+// fullRetryAfter returns when a caller should retry whose endpoints are all at their call
+// limit: after a part of the time of a typical call, by which one of the calls has ended.
+// The time is randomized, as callers are refused together.
+func (e *Entry) fullRetryAfter(list []uint32) time.Duration {
 	took := 0.0
 	for _, number := range list {
 		e.board.Endpoints.Find(number, func(_ *config.View, s *route.State) { took = max(took, s.Seen.Took) })
@@ -181,71 +184,75 @@
 	if took == 0 {
 		return time.Second
 	}
-	return time.Duration((callSpread + rand.Float64()) * took * float64(time.Second))
+	return time.Duration((minCallShare + rand.Float64()) * took * float64(time.Second))
 }
 
-// callSpread is the least part of a usual call after which such a caller comes back; the most is
-// that and a whole one.
-const callSpread = 0.5
+// minCallShare is the least part of a typical call after which such a caller retries. The
+// most is this plus one whole call.
+const minCallShare = 0.5
 
-// evacuatedBack is when callers are told to come back whose endpoints are all being
-// emptied. Nobody says for how long; operators' work takes some seconds at the least.
-const evacuatedBack = 2 * time.Second
+// evacuatedRetryAfter is the retry time for callers whose endpoints are all being
+// evacuated. The duration of an evacuation isn't known; operators' work takes at least some
+// seconds.
+const evacuatedRetryAfter = 2 * time.Second
 
-// moveFrom moves a request from a decode engine that is barred now to another, while the
-// result of its prompt is kept. It returns an error if there is none.
-func (e *Entry) moveFrom(ctx context.Context, j *job, p *plan, kv *endpoint.Transfer, lapses time.Time, b route.Bar) error {
-	if p.kept || kv == nil {
-		// The prompt is kept there or would be read there: all is chosen anew.
+// moveFromBarred moves a request from a barred decode engine to another, while its prefill
+// result is kept. It returns an error if there is none.
+func (e *Entry) moveFromBarred(ctx context.Context, j *job, p *plan, kv *endpoint.Transfer, expires time.Time, b route.Bar) error {
+	if p.promptCached || kv == nil {
+		// The prompt is cached there or would be prefilled there: all endpoints are chosen
+		// anew.
 		e.releaseDecode(j, p, owner.GivenUp)
-		return barredSince(p.dec, b)
+		return barredFailure(p.decodeSpec, b)
 	}
-	e.moveOn(ctx, j, p, owner.GivenUp, true)
-	if p.dec == nil && b == route.BarTrial {
-		e.lookAgain(ctx, j, p, lapses)
+	e.moveDecode(ctx, j, p, owner.GivenUp, true)
+	if p.decodeSpec == nil && b == route.BarTrial {
+		e.recheckDecode(ctx, j, p, expires)
 	}
-	if p.dec == nil {
-		e.drop(j, p, kv)
+	if p.decodeSpec == nil {
+		e.dropResult(j, p, kv)
 		if b == route.BarTrial {
-			return closedInTurn(j, p)
+			return allDecodesBusy(j, p)
 		}
-		if none := e.nowhere(j, "decode endpoint", decodeList); !j.ran && none.Code != result.NoEndpoint {
+		if none := e.noneOpen(j, "decode endpoint", decodeStates); !j.possiblyRan && none.Code != result.NoEndpoint {
 			return none
 		}
-		return e.wasted(j, p, errBarred)
+		return e.wastedPrefill(j, p, errBarred)
 	}
-	if !wait.For(ctx, min(time.Until(p.start), time.Until(lapses))) && ctx.Err() != nil {
-		e.discard(j, p, kv)
+	if !wait.For(ctx, min(time.Until(p.transferStart), time.Until(expires))) && ctx.Err() != nil {
+		e.discardResult(j, p, kv)
 		return asResult(ctx.Err())
 	}
 	return nil
 }
 
-// The endpoints of a role of a group.
-func prefillList(g *route.Group) []*route.State { return g.Prefill.All() }
-func decodeList(g *route.Group) []*route.State  { return g.Decode.All() }
-
-// heardEmptied takes in that an owner refused a job as the failure domain of its endpoint
-// is being emptied, of which this host hasn't heard. After two such words nothing more is
-// asked there in this try: of a pool of 15 that read and 49 that write, 12 turns or 8 rooms
-// refused so used up all asks of a request, though others were open. One word alone may be
-// that of an owner that hasn't heard of the end. It returns how many asks the refusal counts
-// for: it tells nothing of endpoints elsewhere, but one of a failure domain that the words
-// have no place for is to be bounded like any other.
-func (j *job) heardEmptied(v *config.View, spec *config.Endpoint) (asks int) {
+// The states of a group's endpoints, by role.
+func prefillStates(g *route.Group) []*route.State { return g.Prefill.All() }
+func decodeStates(g *route.Group) []*route.State  { return g.Decode.All() }
+
+// noteEvacuated records that an owner refused a job because the failure domain of its
+// endpoint is being evacuated, which this host hasn't learned yet. After two such refusals
+// this try asks nothing more there: with a pool of 15 prefill and 49 decode engines, 12
+// refused prefill slots or 8 refused memory requests used up all asks of a request though
+// other engines were open. A single refusal may come from an owner that hasn't learned of
+// the evacuation's end. It returns how many asks the refusal counts for: 0, as it says
+// nothing of endpoints elsewhere, or 1 for a domain that the bit set has no bit for, so
+// that those asks are bounded too.
+func (j *job) noteEvacuated(v *config.View, spec *config.Endpoint) (asks int) {
 	i := v.DomainIndex(spec.Domain)
 	if i < 0 || i >= bits.UintSize {
 		return 1
 	}
 	domain := uint64(1) << i
-	j.pick.Shut |= j.emptied & domain
-	j.emptied |= domain
+	j.criteria.Shut |= j.reportedEvacuated & domain
+	j.reportedEvacuated |= domain
 	return 0
 }
 
-// lackOf returns the refusal that tells for lack of what a request isn't placed: that of
-// an endpoint whose failure domain is being emptied says nothing of the others.
-func lackOf(refusal, before *result.Error) *result.Error {
+// placementRefusal returns the refusal to report when a request isn't placed. The refusal
+// by an endpoint in an evacuated failure domain says nothing of the others, so an earlier
+// one is kept.
+func placementRefusal(refusal, before *result.Error) *result.Error {
 	if refusal.Code == result.Evacuated {
 		return before
 	}
--- a/entry/call.go
+++ b/entry/call.go
@@ -17,42 +17,42 @@
 	"github.com/embercove/embercove/route"
 )
 
-// Call is a request that a front end of another protocol has read. Its route
-// is chosen by host and path, and its answer is passed on as it comes.
+// Call is a request received by a front end of another protocol. Its route is chosen by
+// host and path, and its answer is forwarded as it arrives.
 type Call struct {
-	Origin   *request.Origin // Body is read by Serve
-	Keys     []string        // that name the caller's team, as they came
-	Prompt   *Prompt         // nil: the call carries none
-	Left     time.Duration   // until the caller gives up; 0: unknown
-	LastMark string          // names the last piece that the caller has; empty: none
-	// Refuse tells the caller of a refusal or failure, in its protocol.
+	Origin   *request.Origin // its Body is read by Serve
+	Keys     []string        // keys that identify the caller's team, as received
+	Prompt   *Prompt         // nil: the call has none
+	Left     time.Duration   // until the caller times out; 0: unknown
+	LastMark string          // id of the last event that the caller received; empty: none
+	// Refuse reports a refusal or failure to the caller, in its protocol.
 	Refuse func(w http.ResponseWriter, err *result.Error)
 }
 
-// Prompt is what decisions know of a prompt whose text they don't read.
+// Prompt describes a prompt whose text is not parsed.
 type Prompt struct {
 	Model     string
 	Tokens    int
-	MaxAnswer int    // tokens
-	Expected  int    // tokens of the answer by the caller's guess; 0: none
-	Head      uint32 // names the prompt in cache feeds
+	MaxAnswer int    // in tokens
+	Expected  int    // answer tokens estimated by the caller; 0: none
+	Head      uint32 // identifies the prompt in cache feeds
 	HasHead   bool
 }
 
-// Serve carries a call of another front end.
+// Serve handles a call received by another front end.
 func (e *Entry) Serve(w http.ResponseWriter, q *http.Request, c *Call) {
 	if e.board.Leaving() {
 		w.Header().Set("Connection", "close")
 	}
 	from := caller{c.Origin.ID, c.Refuse}
-	v, src, ok := e.receive(w, q, from)
+	v, src, ok := e.receiveCall(w, q, from)
 	if !ok {
 		return
 	}
 	c.Origin.Body = src
 	r := v.RouteFor(hostName(q.Host), q.URL.Path)
 	if r == nil {
-		e.refuse(w, q, result.Errorf(result.NoRoute, "no route of host %q begins path %q", q.Host, q.URL.Path), from)
+		e.refuse(w, q, result.Errorf(result.NoRoute, "no route of host %q matches path %q", q.Host, q.URL.Path), from)
 		return
 	}
 	team, refusal := callTeam(v, r, c.Keys)
@@ -60,72 +60,74 @@
 		e.refuse(w, q, refusal, from)
 		return
 	}
-	j := e.callJob(v, r, team, c)
-	j.identify(q, src)
-	if e.stopsBefore(j) {
-		e.refuse(w, q, result.Errorf(result.Draining, "this host is stopping before the answer would be whole").After(comeBackSoon), from)
+	j := e.newCallJob(v, r, team, c)
+	j.setFingerprint(q, src)
+	if e.stopsBeforeEnd(j) {
+		e.refuse(w, q, result.Errorf(result.Draining, "this host stops before the answer would be complete").After(drainRetryAfter), from)
 		return
 	}
-	j.out = newPassage(w, c.Refuse)
+	j.reply = newPassthrough(w, c.Refuse)
 	run := func(ctx context.Context) *result.Error { return e.runService(ctx, j) }
 	if j.prompted {
 		run = func(ctx context.Context) *result.Error { return e.run(ctx, j) }
 	}
-	e.carry(q.Context(), j, 0, run)
+	e.execute(q.Context(), j, 0, run)
 }
 
-// comeBackSoon is when a request that another host can take may be sent again.
-const comeBackSoon = 50 * time.Millisecond
+// drainRetryAfter is the retry time of a request that another host can take at once.
+const drainRetryAfter = 50 * time.Millisecond
 
-// stopsBefore reports whether the process may well end before a job's answer
-// is whole. Such jobs are left to other hosts.
-func (e *Entry) stopsBefore(j *job) bool {
+// stopsBeforeEnd reports whether the process is likely to stop before a job's answer is
+// complete. Such jobs are left to other hosts.
+func (e *Entry) stopsBeforeEnd(j *job) bool {
 	if !j.prompted {
 		return false
 	}
-	tokens := likelyExcess * float64(j.expected)
+	tokens := answerLengthMargin * float64(j.expected)
 	if j.expected == 0 {
 		tokens = float64(j.work.MaxTokens) / 2
 	}
 	if e.board.LeavingFor() > config.Millis(e.board.Settings.LameDuckMillis) {
-		// By now callers' balancers send nothing new; who still keeps a
-		// connection finds another host at once. No answer may be cut.
+		// By now callers' load balancers send nothing new, and a caller that still holds a
+		// connection reaches another host at once. So no answer may be cut off: the longest
+		// possible one counts.
 		tokens = float64(j.work.MaxTokens)
 	}
-	return e.board.StopsWithin(j.target() + time.Duration(tokens*float64(e.usualStep(j))))
+	return e.board.StopsWithin(j.target() + time.Duration(tokens*float64(e.typicalStep(j))))
 }
 
-// likelyExcess is how much longer than guessed an answer is taken to be:
-// guesses are right in the median and often far off.
-const likelyExcess = 1.5
+// answerLengthMargin scales the estimated length of an answer: estimates are right in the
+// median and often far off.
+const answerLengthMargin = 1.5
 
-// mostSteps is how many engines tell the usual time of a step.
-const mostSteps = 64
+// maxSampled is how many engines are sampled for the typical step time.
+const maxSampled = 64
 
-// someOf returns some endpoints of a list, of the host's failure domain if there are any.
-func someOf(l route.List, home int) []*route.State {
+// sampleEndpoints returns some endpoints of a list, from the host's failure domain if it
+// has any.
+func sampleEndpoints(l route.List, home int) []*route.State {
 	list := l.In(home)
 	if len(list) == 0 {
 		list = l.All()
 	}
-	return list[:min(len(list), mostSteps)]
+	return list[:min(len(list), maxSampled)]
 }
 
-// usualStep returns the time of a decode step in the job's pool, by the slowest
-// of some of its engines and a usual batch.
-func (e *Entry) usualStep(j *job) (step time.Duration) {
+// typicalStep returns the time of a decode step in the job's pool: the slowest among a
+// sample of engines, at a typical batch size.
+func (e *Entry) typicalStep(j *job) (step time.Duration) {
 	e.board.Endpoints.Read(func(fleet *route.Fleet) {
 		if g := j.group(fleet); g != nil {
-			for _, s := range someOf(g.Decode, j.pick.Home) {
-				step = max(step, time.Duration(s.Slow()*float64(route.StepTime(s.Spec, likelyBatch))))
+			for _, s := range sampleEndpoints(g.Decode, j.criteria.Home) {
+				step = max(step, time.Duration(s.Slow()*float64(route.StepTime(s.Spec, typicalBatch))))
 			}
 		}
 	})
 	return step
 }
 
-// likelyBatch is how many answers an engine is taken to write at once.
-const likelyBatch = 10
+// typicalBatch is how many answers an engine is assumed to decode at once.
+const typicalBatch = 10
 
 // hostName returns a Host header without its port, in lower case.
 func hostName(host string) string {
@@ -135,37 +137,37 @@
 	return strings.ToLower(host)
 }
 
-// callJob makes a job of a call.
-func (e *Entry) callJob(v *config.View, r *config.RouteView, team *config.Team, c *Call) *job {
-	hd := headers{team: team, priority: rank(team, r), deadline: c.Left, repeatable: r.Repeatable()}
+// newCallJob makes a job of a call.
+func (e *Entry) newCallJob(v *config.View, r *config.RouteView, team *config.Team, c *Call) *job {
+	hd := headers{team: team, priority: teamPriority(team, r), deadline: c.Left, repeatable: r.Repeatable()}
 	if t := r.Timeout(); t > 0 && (hd.deadline == 0 || t < hd.deadline) {
 		hd.deadline = t
 	}
 	j := e.newJob(v, r, hd)
 	if c.Origin.ID != "" {
-		j.mark = xxhash.Sum64String(c.Origin.ID)
+		j.engineID = xxhash.Sum64String(c.Origin.ID)
 	}
 	j.work = &endpoint.Work{Origin: c.Origin, LastMark: c.LastMark}
 	j.work.Priority = j.priority
 	if c.Left > 0 {
 		j.work.Until = clock.Now().Add(c.Left)
 	}
-	share := r.Draw(j.pick.Seed >> 32)
+	share := r.Draw(j.criteria.Seed >> 32)
 	j.pool = share.Pool.Name
 	j.prompted = share.Pool.Engines()
 	if p := c.Prompt; p != nil && j.prompted {
 		j.tokens, j.expected = max(1, p.Tokens), p.Expected
 		j.work.Model, j.work.MaxTokens = p.Model, max(1, p.MaxAnswer)
-		j.pick.Model, j.pick.Tokens, j.pick.MaxAnswer = p.Model, j.tokens, j.work.MaxTokens
-		j.pick.Head, j.pick.HasHead = p.Head, p.HasHead
+		j.criteria.Model, j.criteria.Tokens, j.criteria.MaxAnswer = p.Model, j.tokens, j.work.MaxTokens
+		j.criteria.Head, j.criteria.HasHead = p.Head, p.HasHead
 	}
 	return j
 }
 
-// group returns the endpoints that a job may go to under the revision in
-// force: the route may have moved since it was admitted.
+// group returns the endpoints that a job may use under the revision in force: the route may
+// have changed since the job was admitted.
 func (j *job) group(fleet *route.Fleet) *route.Group {
-	if fleet.View == nil { // a first revision is in force and not laid out yet
+	if fleet.View == nil { // a first revision is in force, and the fleet isn't built yet
 		return nil
 	}
 	r := fleet.View.RouteByName(j.route.Name)
@@ -175,7 +177,7 @@
 	if j.pool == "" || r.Reaches(j.pool) {
 		return fleet.Group(r, j.pool)
 	}
-	share := r.Draw(j.pick.Seed >> 32)
+	share := r.Draw(j.criteria.Seed >> 32)
 	if share == nil || share.Pool.Engines() != j.prompted {
 		return nil
 	}
--- a/entry/emptied_test.go
+++ b/entry/emptied_test.go
@@ -17,14 +17,14 @@
 	"github.com/embercove/embercove/result"
 )
 
-// emptiedOwners know that a failure domain is being emptied, of which the host hasn't heard.
-type emptiedOwners struct {
+// evacuatingOwners know of an evacuation that the host hasn't learned of.
+type evacuatingOwners struct {
 	stubOwners
 	domain string
-	asked  int // of that domain
+	asked  int // calls for endpoints of that domain
 }
 
-func (o *emptiedOwners) Enqueue(ctx context.Context, spec *config.Endpoint, a owner.EnqueueArgs) (owner.EnqueueReply, error) {
+func (o *evacuatingOwners) Enqueue(ctx context.Context, spec *config.Endpoint, a owner.EnqueueArgs) (owner.EnqueueReply, error) {
 	if spec.Domain == o.domain {
 		o.asked++
 		return owner.EnqueueReply{Code: result.Evacuated, Retry: 2000}, nil
@@ -32,7 +32,7 @@
 	return o.stubOwners.Enqueue(ctx, spec, a)
 }
 
-func (o *emptiedOwners) Reserve(ctx context.Context, spec *config.Endpoint, a owner.ReserveArgs) (owner.ReserveReply, error) {
+func (o *evacuatingOwners) Reserve(ctx context.Context, spec *config.Endpoint, a owner.ReserveArgs) (owner.ReserveReply, error) {
 	if spec.Domain == o.domain {
 		o.asked++
 		return owner.ReserveReply{Code: result.Evacuated, Retry: 2000}, nil
@@ -40,9 +40,10 @@
 	return o.stubOwners.Reserve(ctx, spec, a)
 }
 
-// TestEmptiedMany has the owners of many engines of the own failure domain refuse, as it is
-// being emptied, before the host has heard of it: the request goes to the one pair of the
-// other domain, after few asks.
+// TestEmptiedMany checks that a request reaches the one pair in another failure domain
+// after few asks, although the owners of many engines of its own domain refuse because it
+// is being evacuated, which the host hasn't learned yet. These refusals used up all asks if
+// each counted.
 func TestEmptiedMany(t *testing.T) {
 	const readers, writers, mostAsked = 15, 49, 4
 	synctest.Test(t, func(t *testing.T) {
@@ -71,16 +72,16 @@
 		}
 		v := b.Config.View()
 		b.Endpoints.Fit(v)
-		owners := &emptiedOwners{domain: "a"}
+		owners := &evacuatingOwners{domain: "a"}
 		e := New(b, endpoint.NewClient(nil), owners, report.NewRecorder(), zap.NewNop())
 		j := promptedJob(e, v, defaultTeam)
-		j.out = &passage{}
+		j.reply = &passthrough{}
 		p, err := e.place(t.Context(), j)
-		if err != nil || p.pre.Domain != "b" || p.dec.Domain != "b" {
-			t.Fatalf("%+v, %v; %d asks in the emptied domain", p, err, owners.asked)
+		if err != nil || p.prefillSpec.Domain != "b" || p.decodeSpec.Domain != "b" {
+			t.Fatalf("%+v, %v; %d asks in the evacuated domain", p, err, owners.asked)
 		}
 		if owners.asked > mostAsked {
-			t.Errorf("%d asks in the emptied domain, want at most %d", owners.asked, mostAsked)
+			t.Errorf("%d asks in the evacuated domain, want at most %d", owners.asked, mostAsked)
 		}
 	})
 }
--- a/entry/ends.go
+++ b/entry/ends.go
@@ -17,140 +17,146 @@
 	"github.com/embercove/embercove/route"
 )
 
-// Where a call breaks off, the endpoint is asked whether its process is gone: at once, and
-// again until that is known. Calls that broke off at the same process share the asking. What
-// was in progress is remembered that long, also after the callers had their answers.
+// When a call breaks off, its endpoint is asked whether the process is gone: at once, and
+// again until that is known. Calls that broke off at the same process share these checks.
+// Until then the runs that were in progress are remembered, even after their callers were
+// answered.
 
-// run is a call to an endpoint that runs a request.
-type run struct {
+// engineRun is a call to an endpoint that runs a request.
+type engineRun struct {
 	quarantine.Run
-	spec  *config.Endpoint
-	at    process
-	began time.Time
-	part  bool // it goes on from a part of the answer
+	spec    *config.Endpoint
+	proc    process
+	started time.Time
+	partial bool // it resumes from a part of the answer
 }
 
-// beginRun notes what is known of a request as a call to an endpoint begins.
-func (e *Entry) beginRun(j *job, spec *config.Endpoint, s quarantine.Stage) run {
-	return run{Run: e.board.Suspects.Begin(j.asks, s, j.teamNum), spec: spec, at: e.ends.process(spec), began: clock.Now(), part: j.resumes()}
+// beginRun records what is known of a request as a call to an endpoint begins.
+func (e *Entry) beginRun(j *job, spec *config.Endpoint, s quarantine.Stage) engineRun {
+	return engineRun{Run: e.board.Suspects.Begin(j.fingerprint, s, j.teamNumber), spec: spec, proc: e.crashes.process(spec), started: clock.Now(), partial: j.resumes()}
 }
 
-// endRun takes in how a call ended. pieces came of it, and it began at some moment. One that
-// went on from a part of its answer didn't run all of the request, so it clears nothing.
-func (e *Entry) endRun(ctx context.Context, j *job, r run, pieces int, err error) {
+// endRun records how a call ended. pieces is how many chunks it produced. A call that
+// resumed from a part of its answer didn't run all of the request, so its success clears no
+// mark.
+func (e *Entry) endRun(ctx context.Context, j *job, r engineRun, pieces int, err error) {
 	switch {
-	case err == nil && !r.part:
-		e.tellMarks(e.board.Suspects.Whole(r.Run, clock.Now()))
-		e.endTrial(j)
+	case err == nil && !r.partial:
+		e.announceMarks(e.board.Suspects.Whole(r.Run, clock.Now()))
+		e.endProbe(j)
 	case err == nil:
-		e.endTrial(j)
+		e.endProbe(j)
 	case endpoint.BrokenOff(err) && ctx.Err() == nil:
-		r.Old = pieces > 0 && clock.Now().Sub(r.began) > quarantine.YoungFor
-		e.endBroken(ctx, j, r)
+		r.Old = pieces > 0 && clock.Now().Sub(r.started) > quarantine.YoungFor
+		e.endBrokenRun(ctx, j, r)
 	}
 }
 
-// endBroken has the endpoint of a call that broke off looked into.
-func (e *Entry) endBroken(ctx context.Context, j *job, r run) {
-	en := e.ends.follow(r, j.holder())
+// endBrokenRun starts the crash check for the endpoint of a call that broke off. A request
+// that may be repeated waits for the first result.
+func (e *Entry) endBrokenRun(ctx context.Context, j *job, r engineRun) {
+	en := e.crashes.track(r, j.probeHolder())
 	if !j.repeatable {
-		j.trial, j.settled = false, false // it ends with what is found
+		j.probing, j.settled = false, false // the probe ends with the check's result
 		return
 	}
-	limited, cancel := context.WithTimeout(ctx, askWait+askLate)
+	limited, cancel := context.WithTimeout(ctx, reportTimeout+maxTimerDelay)
 	defer cancel()
 	select {
-	case <-en.asked:
+	case <-en.firstCheck:
 	case <-limited.Done():
 	}
-	if e.ends.found(en) == quarantine.FindingEnded {
-		j.trial, j.settled = false, false
+	if e.crashes.findingOf(en) == quarantine.FindingEnded {
+		j.probing, j.settled = false, false
 		if !r.Old {
-			j.ended++
+			j.crashCount++
 		}
 	}
 }
 
-// ended is a process of an endpoint that broke calls off.
-type ended struct {
-	at      process
-	spec    *config.Endpoint
-	planned bool          // it was leaving
-	since   time.Time     // when the first call broke off
-	asked   chan struct{} // closed after the first ask
+// crashCheck is the check of one endpoint process that broke calls off.
+type crashCheck struct {
+	proc       process
+	spec       *config.Endpoint
+	planned    bool          // it was leaving
+	since      time.Time     // when the first call broke off
+	firstCheck chan struct{} // closed after the first check
 
-	// Guarded by ends.mu.
+	// Guarded by crashTracker.mu.
 	finding quarantine.Finding
-	found   time.Time // when that was found
+	foundAt time.Time // when the finding was made
 	runs    []quarantine.Run
-	holders []uint64 // of trials, in the order of runs
+	holders []uint64 // of probes, parallel to runs
 }
 
-// ends are the processes that broke calls off lately.
-type ends struct {
-	e  *Entry
-	mu sync.Mutex
-	of map[process]*ended
-	// born are the starts that reports told of, by address, where they are later than what
-	// is registered: else the next call to such a process that broke off would count as an
-	// end, as a later process answers there than the registered one.
-	born map[string]int64
+// crashTracker holds the processes that broke off calls recently.
+type crashTracker struct {
+	entry  *Entry
+	mu     sync.Mutex
+	checks map[process]*crashCheck
+	// startTimes are process start times taken from reports, by address, where they are
+	// later than the registered ones. Without them the next call that breaks off at such a
+	// process would count as a crash, because the process that answers there is later than
+	// the registered one.
+	startTimes map[string]int64
 }
 
-// process returns the process that a call to an endpoint is made to, as far as is known.
-func (s *ends) process(spec *config.Endpoint) process {
+// process returns the process that a call to an endpoint is made to, as far as it is known.
+func (s *crashTracker) process(spec *config.Endpoint) process {
 	at := processOf(spec)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	switch born := s.born[at.address]; {
-	case at.born == 0 || born == 0:
-	case born <= at.born:
-		delete(s.born, at.address)
+	switch born := s.startTimes[at.address]; {
+	case at.started == 0 || born == 0:
+	case born <= at.started:
+		delete(s.startTimes, at.address)
 	default:
-		at.born = born
+		at.started = born
 	}
 	return at
 }
 
-// follow has the process of a call that broke off looked into.
-func (s *ends) follow(r run, holder uint64) *ended {
+// track adds a call that broke off to the check of its process, and starts the check if
+// there is none.
+func (s *crashTracker) track(r engineRun, holder uint64) *crashCheck {
 	s.mu.Lock()
-	en := s.of[r.at]
-	if en != nil && en.finding == quarantine.FindingEnded && r.began.Before(en.found) {
+	en := s.checks[r.proc]
+	if en != nil && en.finding == quarantine.FindingEnded && r.started.Before(en.foundAt) {
 		s.mu.Unlock()
-		s.e.noteEnd(en, []quarantine.Run{r.Run}, []uint64{holder})
+		s.entry.recordCrash(en, []quarantine.Run{r.Run}, []uint64{holder})
 		return en
 	}
 	if en == nil || en.finding != quarantine.FindingOpen {
-		en = &ended{at: r.at, spec: r.spec, planned: s.e.leaves(r.spec), since: clock.Now(), asked: make(chan struct{})}
-		s.of[r.at] = en
-		go s.ask(en)
+		en = &crashCheck{proc: r.proc, spec: r.spec, planned: s.entry.isLeaving(r.spec), since: clock.Now(), firstCheck: make(chan struct{})}
+		s.checks[r.proc] = en
+		go s.poll(en)
 	}
 	en.runs, en.holders = append(en.runs, r.Run), append(en.holders, holder)
 	s.mu.Unlock()
 	return en
 }
 
-// found returns what is known of a process.
-func (s *ends) found(en *ended) quarantine.Finding {
+// findingOf returns what is known of a process.
+func (s *crashTracker) findingOf(en *crashCheck) quarantine.Finding {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return en.finding
 }
 
-// ask asks an endpoint until it is known what became of its process, or for too long.
-func (s *ends) ask(en *ended) {
+// poll checks an endpoint until it is known what became of its process, or until the time
+// for it is over.
+func (s *crashTracker) poll(en *crashCheck) {
 	ctx := context.Background()
 	first := true
 	for {
-		finding := s.e.lookAt(ctx, en)
+		finding := s.entry.checkProcess(ctx, en)
 		since := clock.Now().Sub(en.since)
 		over := finding != quarantine.FindingOpen || since >= quarantine.AskFor
 		if over {
 			s.conclude(en, finding)
 		}
 		if first {
-			close(en.asked)
+			close(en.firstCheck)
 			first = false
 		}
 		if over {
@@ -158,52 +164,53 @@
 		}
 		wait.For(ctx, quarantine.NextAsk(since))
 	}
-	if s.found(en) == quarantine.FindingEnded {
-		wait.For(ctx, quarantine.AskFor) // for calls that notice later that they broke off
+	if s.findingOf(en) == quarantine.FindingEnded {
+		wait.For(ctx, quarantine.AskFor) // for calls that detect later that they broke off
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.of[en.at] == en {
-		delete(s.of, en.at)
+	if s.checks[en.proc] == en {
+		delete(s.checks, en.proc)
 	}
 }
 
-// conclude notes what became of a process.
-func (s *ends) conclude(en *ended, f quarantine.Finding) {
+// conclude records what became of a process and ends the probes of its runs.
+func (s *crashTracker) conclude(en *crashCheck, f quarantine.Finding) {
 	if f == quarantine.FindingOpen {
-		f = quarantine.FindingLives // nothing speaks for its end
+		f = quarantine.FindingLives // there is no sign of a crash
 	}
 	s.mu.Lock()
-	en.finding, en.found = f, clock.Now()
+	en.finding, en.foundAt = f, clock.Now()
 	runs, holders := en.runs, en.holders
 	en.runs, en.holders = nil, nil
 	s.mu.Unlock()
 	if f == quarantine.FindingEnded {
-		s.e.noteEnd(en, runs, holders)
+		s.entry.recordCrash(en, runs, holders)
 		return
 	}
-	s.e.doneTrials(runs, holders)
+	s.entry.endProbes(runs, holders)
 }
 
-// lookAt looks for signs of a process, at its address and in what registered itself.
-func (e *Entry) lookAt(ctx context.Context, en *ended) quarantine.Finding {
-	sign, born := e.signOf(ctx, en.at)
+// checkProcess looks for signs of a process, at its address and in the endpoint's
+// registration.
+func (e *Entry) checkProcess(ctx context.Context, en *crashCheck) quarantine.Finding {
+	sign, born := e.processSign(ctx, en.proc)
 	e.board.Endpoints.Find(route.Number(en.spec.Name), func(_ *config.View, s *route.State) {
-		if en.at.born > 0 && s.Spec.Born > en.at.born {
+		if en.proc.started > 0 && s.Spec.Born > en.proc.started {
 			sign = quarantine.SignLater
 		}
 	})
-	if born > en.at.born {
-		e.ends.mu.Lock()
-		e.ends.born[en.at.address] = born
-		e.ends.mu.Unlock()
+	if born > en.proc.started {
+		e.crashes.mu.Lock()
+		e.crashes.startTimes[en.proc.address] = born
+		e.crashes.mu.Unlock()
 	}
 	return sign.Judge(en.planned)
 }
 
-// leaves reports whether an endpoint is about to end as planned: it is leaving or being
-// emptied, or has withdrawn its registration.
-func (e *Entry) leaves(spec *config.Endpoint) bool {
+// isLeaving reports whether an endpoint is about to stop as planned: it is leaving, it is
+// being evacuated, or its registration was withdrawn.
+func (e *Entry) isLeaving(spec *config.Endpoint) bool {
 	leaves := true
 	e.board.Endpoints.Find(route.Number(spec.Name), func(_ *config.View, s *route.State) {
 		leaves = s.IsLeaving() || s.Evacuated
@@ -211,56 +218,56 @@
 	return leaves
 }
 
-// noteEnd notes that an endpoint ended under some runs.
-func (e *Entry) noteEnd(en *ended, runs []quarantine.Run, holders []uint64) {
-	process := quarantine.ProcessOf(en.at.address, en.at.born)
+// recordCrash records that an endpoint crashed under some runs.
+func (e *Entry) recordCrash(en *crashCheck, runs []quarantine.Run, holders []uint64) {
+	process := quarantine.ProcessOf(en.proc.address, en.proc.started)
 	rows := e.board.Suspects.Ended(runs, process, en.spec.Name, clock.Now())
-	e.logEnded(en, runs, rows)
-	e.tellMarks(rows)
-	e.doneTrials(runs, holders)
+	e.logCrash(en, runs, rows)
+	e.announceMarks(rows)
+	e.endProbes(runs, holders)
 	time.AfterFunc(quarantine.ExplainWait, func() {
 		due := e.board.Suspects.Due(clock.Now())
 		if len(due) > 0 {
-			e.logEnded(en, nil, due)
+			e.logCrash(en, nil, due)
 		}
-		e.tellMarks(due)
+		e.announceMarks(due)
 	})
 }
 
-// logEnded writes a line for an endpoint that ended under some runs, with those that are
-// suspected of it since.
-func (e *Entry) logEnded(en *ended, runs []quarantine.Run, rows []quarantine.Row) {
+// logCrash logs that an endpoint crashed under some runs, with the requests that are
+// suspected since.
+func (e *Entry) logCrash(en *crashCheck, runs []quarantine.Run, rows []quarantine.Row) {
 	slices.SortStableFunc(rows, func(a, b quarantine.Row) int { return int(b.Mark.Ends) - int(a.Mark.Ends) })
-	e.log.Warn("endpoint ended under requests", zap.String("endpoint", en.spec.Name), zap.String("address", en.at.address),
-		zap.Int("requests", len(runs)), zap.Stringers("suspects", fingerprints(rows)), zap.Uint32s("ends", endsOf(rows)))
+	e.log.Warn("endpoint ended under requests", zap.String("endpoint", en.spec.Name), zap.String("address", en.proc.address),
+		zap.Int("requests", len(runs)), zap.Stringers("suspects", fingerprints(rows)), zap.Uint32s("ends", crashCounts(rows)))
 }
 
-// mostLogged is how many fingerprints a log line names.
-const mostLogged = 16
+// maxLoggedFingerprints is how many fingerprints a log line holds.
+const maxLoggedFingerprints = 16
 
 func fingerprints(rows []quarantine.Row) (out []request.Fingerprint) {
-	for _, r := range rows[:min(len(rows), mostLogged)] {
+	for _, r := range rows[:min(len(rows), maxLoggedFingerprints)] {
 		out = append(out, r.Request)
 	}
 	return out
 }
 
-func endsOf(rows []quarantine.Row) (out []uint32) {
-	for _, r := range rows[:min(len(rows), mostLogged)] {
+func crashCounts(rows []quarantine.Row) (out []uint32) {
+	for _, r := range rows[:min(len(rows), maxLoggedFingerprints)] {
 		out = append(out, r.Mark.Ends)
 	}
 	return out
 }
 
-// tellMarks tells all hosts what changed.
-func (e *Entry) tellMarks(rows []quarantine.Row) {
+// announceMarks sends changed failure marks to all hosts.
+func (e *Entry) announceMarks(rows []quarantine.Row) {
 	if len(rows) > 0 {
 		e.owners.TellMarks(rows)
 	}
 }
 
-// doneTrials ends the trials of runs, if they were any.
-func (e *Entry) doneTrials(runs []quarantine.Run, holders []uint64) {
+// endProbes ends the probes of runs, if they were any.
+func (e *Entry) endProbes(runs []quarantine.Run, holders []uint64) {
 	if e.board.Suspects.Quiet() {
 		return
 	}
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -23,7 +23,7 @@
 	"github.com/embercove/embercove/retry"
 )
 
-// Owners is what a request asks of endpoint owners and key holders.
+// Owners is what a request needs from endpoint owners and key holders.
 type Owners interface {
 	Reserve(ctx context.Context, spec *config.Endpoint, a owner.ReserveArgs) (owner.ReserveReply, error)
 	Enqueue(ctx context.Context, spec *config.Endpoint, a owner.EnqueueArgs) (owner.EnqueueReply, error)
@@ -43,100 +43,100 @@
 
 // Entry serves callers. Use New.
 type Entry struct {
-	board   *blackboard.Board
-	engine  endpoint.Engine
-	traits  endpoint.Traits
-	owners  Owners
-	record  *report.Recorder
-	log     *zap.Logger
-	budgets *retry.Budgets
-	turn    atomic.Uint64 // for round robin and seeds
-	Latency LatencyRecorder
-	Copies  Copies
-	// CopyPolicy says which answers get a copy of their memory; it is set before the
-	// entry serves.
-	CopyPolicy copies.Policy
-	logs       *lineGate
-	back       *retry.ComeBack
-	began      time.Time
-	barred     barCounts
-	ends       ends
-	waiting    waiting
-	slips      slips
-
-	Unstarted atomic.Uint64 // calls for which there was no start in time
+	board        *blackboard.Board
+	engine       endpoint.Engine
+	traits       endpoint.Traits
+	owners       Owners
+	recorder     *report.Recorder
+	log          *zap.Logger
+	retryBudgets *retry.Budgets
+	sequence     atomic.Uint64 // for round robin and random seeds
+	Latency      LatencyRecorder
+	Copies       Copies
+	// CopyPolicy decides which answers get a replica of their KV cache. It is set before
+	// the entry serves.
+	CopyPolicy    copies.Policy
+	logLimiter    *lineLimiter
+	retryTimes    *retry.ComeBack
+	started       time.Time
+	barTotals     barCounts
+	crashes       crashTracker
+	deadlines     deadlines
+	unreadableLog logThrottle
+
+	Unstarted atomic.Uint64 // calls that got no start permit in time
 	Heard     Heard
 }
 
 // New returns an entry over the board.
 func New(b *blackboard.Board, g endpoint.Engine, o Owners, rec *report.Recorder, log *zap.Logger) *Entry {
-	e := &Entry{board: b, engine: g, traits: g.Traits(), owners: o, record: rec, log: log, budgets: retry.NewBudgets(b.Settings.RetryBudget, b.Hosts.Len), logs: newLineGate(), back: retry.NewComeBack(), began: time.Now()}
-	e.waiting.of = map[request.ID]waiter{}
-	e.ends = ends{e: e, of: map[process]*ended{}, born: map[string]int64{}}
+	e := &Entry{board: b, engine: g, traits: g.Traits(), owners: o, recorder: rec, log: log, retryBudgets: retry.NewBudgets(b.Settings.RetryBudget, b.Hosts.Len), logLimiter: newLineLimiter(), retryTimes: retry.NewComeBack(), started: time.Now()}
+	e.deadlines.byID = map[request.ID]pendingDeadline{}
+	e.crashes = crashTracker{entry: e, checks: map[process]*crashCheck{}, startTimes: map[string]int64{}}
 	return e
 }
 
-// SetRetryBudget has another budget hold from now on.
-func (e *Entry) SetRetryBudget(b config.RetryBudget) { e.budgets.Set(b) }
+// SetRetryBudget replaces the retry budget.
+func (e *Entry) SetRetryBudget(b config.RetryBudget) { e.retryBudgets.Set(b) }
 
 // Handler returns the callers' HTTP interface.
 func (e *Entry) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/completions", e.completions)
 	mux.HandleFunc("POST /v1/chat/completions", e.completions)
-	mux.HandleFunc("GET /v1/models", e.models)
+	mux.HandleFunc("GET /v1/models", e.listModels)
 	mux.HandleFunc("/services/{name}/", e.service)
 	return mux
 }
 
-// notReadyFor is how long a host that has just started mostly takes to get its
+// notReadyRetryAfter is how long a host that has just started usually takes to get its
 // configuration.
-const notReadyFor = 250 * time.Millisecond
+const notReadyRetryAfter = 250 * time.Millisecond
 
-// startWait is how long a request waits for the first configuration, which a
-// store in reach answers with in some 10 ms. It is below a quarter of any target
-// of a second, so that a refusal after it still leaves time to go elsewhere.
-const startWait = 200 * time.Millisecond
+// firstConfigWait is how long a request waits for the first configuration. A reachable
+// store delivers it in some 10 ms. The wait is below a quarter of any target of a second,
+// so that a refusal after it leaves the caller time to try another host.
+const firstConfigWait = 200 * time.Millisecond
 
-// ready returns the revision in force, or the refusal of a host that can't
-// serve. A host that has just started waits for its first revision.
+// ready returns the revision in force, or the refusal of a host that can't serve. A host
+// that has just started waits for its first revision.
 func (e *Entry) ready(ctx context.Context) (*config.View, *result.Error) {
 	e.board.Pause.Check()
 	if e.board.Draining() {
 		return nil, result.Errorf(result.Draining, "this host is stopping").After(time.Second)
 	}
-	if v := e.view(); v != nil {
+	if v := e.servableView(); v != nil {
 		return v, nil
 	}
 	if v := e.awaitView(ctx); v != nil {
 		return v, nil
 	}
-	return nil, result.Errorf(result.NotReady, "no configuration yet").After(notReadyFor)
+	return nil, result.Errorf(result.NotReady, "no configuration yet").After(notReadyRetryAfter)
 }
 
-// view returns the revision in force, nil if there is none that can be served
-// from: until the first roster, which mostly comes with the first document, no
-// endpoint of a pool is known.
-func (e *Entry) view() *config.View {
+// servableView returns the revision in force, or nil if it can't be served from: before the
+// first roster, which usually arrives with the first document, no endpoint of a pool is
+// known.
+func (e *Entry) servableView() *config.View {
 	v := e.board.Config.View()
-	if v != nil && len(v.Pools) > 0 && v.Roster == 0 && time.Since(e.began) < rosterWait {
+	if v != nil && len(v.Pools) > 0 && v.Roster == 0 && time.Since(e.started) < firstRosterWait {
 		return nil
 	}
 	return v
 }
 
-// rosterWait is how long after its start a host takes a document without a
-// roster for one whose roster is on its way: a listing of the store that fails
-// once is repeated within it.
-const rosterWait = 2 * time.Second
+// firstRosterWait is how long after its start a host assumes that the roster of a document
+// without one is still on its way. It leaves time to repeat a listing of the store that
+// failed once.
+const firstRosterWait = 2 * time.Second
 
-// awaitView waits for a revision to serve from, for startWait at most.
+// awaitView waits up to firstConfigWait for a revision to serve from.
 func (e *Entry) awaitView(ctx context.Context) *config.View {
-	limited, cancel := context.WithTimeout(ctx, startWait)
+	limited, cancel := context.WithTimeout(ctx, firstConfigWait)
 	defer cancel()
 	for {
 		changed := e.board.Wake.Wait()
-		if v := e.view(); v != nil {
+		if v := e.servableView(); v != nil {
 			return v
 		}
 		select {
@@ -147,19 +147,19 @@
 	}
 }
 
-// caller is who sent a call that is not yet a job.
+// caller is the sender of a call that is not yet a job.
 type caller struct {
-	id string // the caller's own name for the call; empty: it gave none
-	// refuse tells the caller of a refusal, in its protocol.
+	id string // the caller's own id of the call; empty: none
+	// refuse sends a refusal to the caller, in its protocol.
 	refuse func(w http.ResponseWriter, err *result.Error)
 }
 
-// apiCaller is a caller of the project's own protocol, which has no ids of callers.
+// apiCaller is a caller of embercove's own protocol, in which callers send no ids.
 var apiCaller = caller{refuse: writeError}
 
-// receive takes a call in: the revision that it falls under and its body. It
-// answers the call itself when it returns false.
-func (e *Entry) receive(w http.ResponseWriter, q *http.Request, c caller) (*config.View, []byte, bool) {
+// receiveCall returns the revision that a call falls under, and its body. If it returns
+// false, it has answered the call itself.
+func (e *Entry) receiveCall(w http.ResponseWriter, q *http.Request, c caller) (*config.View, []byte, bool) {
 	v, refusal := e.ready(q.Context())
 	if refusal != nil {
 		e.refuse(w, q, refusal, c)
@@ -173,7 +173,7 @@
 	return v, src, true
 }
 
-func (e *Entry) models(w http.ResponseWriter, q *http.Request) {
+func (e *Entry) listModels(w http.ResponseWriter, q *http.Request) {
 	v, refusal := e.ready(q.Context())
 	if refusal != nil {
 		writeError(w, refusal)
--- a/entry/evacuated_test.go
+++ b/entry/evacuated_test.go
@@ -9,10 +9,11 @@
 	"github.com/embercove/embercove/result"
 )
 
-// TestEmptiedMeanwhile has the failure domain be emptied of an endpoint at which a request
-// waits, for its turn, for its prompt or for room: it is served by the other domain. What
-// was read in the emptied one is still fetched from there, and not read again. Where both
-// are emptied it is refused at once, without having run.
+// TestEmptiedMeanwhile evacuates the failure domain of an endpoint while a request waits
+// there for its prefill slot, its prefill or decode memory. The request must be served in
+// the other domain. A prompt that was prefilled in the evacuated domain is fetched from
+// there and not prefilled again. If both domains are evacuated the request is refused at
+// once, as not run.
 func TestEmptiedMeanwhile(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -22,41 +23,41 @@
 		reads  int
 		code   result.Code
 	}{
-		{"nothing is emptied", nil, 0, false, 1, result.OK},
-		{"as its turn comes", []string{atTurn}, 0, false, 1, result.OK},
-		{"as the prompt is read", []string{atReading}, 0, false, 1, result.OK},
-		{"as the decode engine is full", []string{atFull}, 1, false, 1, result.OK},
-		{"as its turn comes, told by its owner", []string{atTurn}, 0, true, 1, result.OK},
-		{"both, as its turn comes and as the prompt is read", []string{atTurn, atReading}, 0, false, 1, result.Evacuated},
+		{"nothing is evacuated", nil, 0, false, 1, result.OK},
+		{"as it gets its slot", []string{atEnqueue}, 0, false, 1, result.OK},
+		{"during the prefill", []string{atPrefill}, 0, false, 1, result.OK},
+		{"while the decode engine is full", []string{atFull}, 1, false, 1, result.OK},
+		{"as it gets its slot, refused by the owner", []string{atEnqueue}, 0, true, 1, result.OK},
+		{"both, as it gets its slot and during the prefill", []string{atEnqueue, atPrefill}, 0, false, 1, result.Evacuated},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := &leavingScene{full: tc.full, empty: true, ahead: tc.ahead}
+				s := &leavingScene{fullCalls: tc.full, evacuate: true, ownersAhead: tc.ahead}
 				began := time.Now()
 				refusal, body := s.run(t, tc.leaves)
 				reads := 0
-				for _, call := range s.order {
-					if slices.Contains([]string{"read at p1", "read at p2"}, call) {
+				for _, call := range s.callOrder {
+					if slices.Contains([]string{"prefill at p1", "prefill at p2"}, call) {
 						reads++
 					}
 				}
 				if reads != tc.reads || time.Since(began) > time.Second {
-					t.Errorf("%d prompts read, want %d, in %v, after %v", reads, tc.reads, time.Since(began), s.order)
+					t.Errorf("%d prompts prefilled, want %d, in %v, after %v", reads, tc.reads, time.Since(began), s.callOrder)
 				}
 				switch {
 				case tc.code == result.OK && (refusal != nil || body != "data: x\n\n"):
-					t.Errorf("%v, body %q, after %v", refusal, body, s.order)
+					t.Errorf("%v, body %q, after %v", refusal, body, s.callOrder)
 				case tc.code != result.OK && (refusal == nil || refusal.Code != tc.code || refusal.RetryAfter == 0):
-					t.Errorf("%v (%+v), want code %v and a time to come back, after %v", refusal, refusal, tc.code, s.order)
+					t.Errorf("%v (%+v), want code %v and a retry time, after %v", refusal, refusal, tc.code, s.callOrder)
 				}
 			})
 		})
 	}
 }
 
-// TestEmptiedTurns has owners refuse turns and room as their engines are being emptied,
-// beside other refusals, and states whether a request is placed, or what it is told.
+// TestEmptiedTurns has owners refuse slots and memory because of an evacuation, mixed with
+// other refusals, and checks whether a request is placed, or with what code it is refused.
 func TestEmptiedTurns(t *testing.T) {
 	gone, late := result.Evacuated, result.TooLate
 	cases := []struct {
@@ -66,28 +67,28 @@
 		roomIn            int
 		code              result.Code
 	}{
-		{"one engine is emptied", []result.Code{gone}, nil, 2, 1, 0, result.OK},
-		{"one has no turn, then one is emptied", []result.Code{late, gone}, nil, 2, 1, 0, late},
-		{"one is emptied, then one has no turn", []result.Code{gone, late}, nil, 2, 1, 0, late},
-		{"one that was to write is emptied", nil, []result.Code{gone}, 1, 2, 0, result.OK},
-		{"it is emptied as a later turn is asked for", []result.Code{result.OK, gone}, nil, 2, 1, 900, result.OK},
+		{"one engine is evacuated", []result.Code{gone}, nil, 2, 1, 0, result.OK},
+		{"one has no slot, then one is evacuated", []result.Code{late, gone}, nil, 2, 1, 0, late},
+		{"one is evacuated, then one has no slot", []result.Code{gone, late}, nil, 2, 1, 0, late},
+		{"a decode engine is evacuated", nil, []result.Code{gone}, 1, 2, 0, result.OK},
+		{"it is evacuated as a later slot is requested", []result.Code{result.OK, gone}, nil, 2, 1, 900, result.OK},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				stub := &stubOwners{turns: tc.turns, rooms: tc.rooms, roomIn: tc.roomIn}
-				e, j := placing(t, stub, tc.prefills, tc.decodes)
+				stub := &stubOwners{enqueueCodes: tc.turns, reserveCodes: tc.rooms, memoryIn: tc.roomIn}
+				e, j := newPlacement(t, stub, tc.prefills, tc.decodes)
 				_, err := e.place(t.Context(), j)
 				if (err == nil) != (tc.code == result.OK) || err != nil && asResult(err).Code != tc.code {
-					t.Errorf("%v, want code %v; asked %v", err, tc.code, stub.asked)
+					t.Errorf("%v, want code %v; calls %v", err, tc.code, stub.calls)
 				}
 			})
 		})
 	}
 }
 
-// TestNowhere has engines emptied, and states what a request is told that was refused by
-// the others or finds none.
+// TestNowhere evacuates engines and checks the code of a request that the other engines
+// refused, or that finds none.
 func TestNowhere(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -97,16 +98,16 @@
 	}{
 		{"all", []string{"a", "b"}, nil, result.Evacuated},
 		{"one of two, and the other's owner knows nothing of it", []string{"a"}, []result.Code{result.NoEndpoint}, result.NoEndpoint},
-		{"one of two, and the other has no turn", []string{"a"}, []result.Code{result.TooLate}, result.TooLate},
+		{"one of two, and the other has no slot", []string{"a"}, []result.Code{result.TooLate}, result.TooLate},
 		{"none, and neither is known to its owner", nil, []result.Code{result.NoEndpoint, result.NoEndpoint}, result.NoEndpoint},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := &leavingScene{empty: true, more: []string{"d3"}, stubOwners: stubOwners{turns: tc.turns}}
-				s.emptied = tc.emptied
+				s := &leavingScene{evacuate: true, extra: []string{"d3"}, stubOwners: stubOwners{enqueueCodes: tc.turns}}
+				s.evacuated = tc.emptied
 				if refusal, _ := s.run(t, nil); refusal == nil || refusal.Code != tc.code {
-					t.Errorf("%v, want code %v; asked %v", refusal, tc.code, s.asked)
+					t.Errorf("%v, want code %v; calls %v", refusal, tc.code, s.callOrder)
 				}
 			})
 		})
--- a/entry/fuzz_test.go
+++ b/entry/fuzz_test.go
@@ -8,8 +8,8 @@
 	"github.com/embercove/embercove/examples"
 )
 
-// FuzzBody checks that no body makes the parser panic or accepts a call
-// without a model, a prompt and a sensible length.
+// FuzzBody checks that no body makes the parser panic or accept a call without a model, a
+// prompt and a valid length.
 func FuzzBody(f *testing.F) {
 	f.Add([]byte(`{"model": "m", "prompt": "x", "max_tokens": 3, "stream": true}`), false)
 	f.Add([]byte(`{"model": "m", "messages": [{"role": "user", "content": "x"}]}`), true)
--- a/entry/heard.go
+++ b/entry/heard.go
@@ -14,29 +14,29 @@
 	"github.com/embercove/embercove/route"
 )
 
-// Heard counts the calls of this host to endpoints that had said something of themselves, and
-// what they said that can't be read.
+// Heard counts this host's calls to endpoints that had sent notices about themselves, and
+// the notices that can't be parsed.
 type Heard struct {
-	Limited   atomic.Uint64 // calls to endpoints that named a limit
-	Leaving   atomic.Uint64 // to endpoints that had told this host that they leave
-	Resting   atomic.Uint64 // to endpoints that wanted no request of this host
-	BadLimits atomic.Uint64 // limits that can't be read
-	BadRests  atomic.Uint64 // rests that can't be read
+	Limited   atomic.Uint64 // calls to endpoints that had named a limit
+	Leaving   atomic.Uint64 // calls to endpoints that had told this host that they are leaving
+	Resting   atomic.Uint64 // calls to endpoints that had asked this host to back off
+	BadLimits atomic.Uint64 // limits that can't be parsed
+	BadRests  atomic.Uint64 // backoffs that can't be parsed
 }
 
-// hearer returns what takes in what the answer to a call that is about to be made says of its
-// endpoint.
-func (e *Entry) hearer(spec *config.Endpoint) func(endpoint.Notice) {
-	sent, began := clock.Now(), time.Now() // limits are ordered by package clock, rests by the process's own
-	e.countHeard(spec, began)
+// noticeHandler returns the function that handles the notices in the answer to a call that
+// is about to be made.
+func (e *Entry) noticeHandler(spec *config.Endpoint) func(endpoint.Notice) {
+	sent, began := clock.Now(), time.Now() // limits are ordered by package clock, backoffs by the process's own clock
+	e.countNotices(spec, began)
 	return func(n endpoint.Notice) {
-		e.hearLimit(spec, n, sent)
-		e.hearNotice(spec, n, began)
+		e.receiveLimit(spec, n, sent)
+		e.receiveNotice(spec, n, began)
 	}
 }
 
-// countHeard counts a call to an endpoint that has said something of itself.
-func (e *Entry) countHeard(spec *config.Endpoint, now time.Time) {
+// countNotices counts a call to an endpoint that has sent notices about itself.
+func (e *Entry) countNotices(spec *config.Endpoint, now time.Time) {
 	e.board.Endpoints.Find(route.Number(spec.Name), func(_ *config.View, s *route.State) {
 		if s.Limit.Word().Named {
 			e.Heard.Limited.Add(1)
@@ -53,12 +53,12 @@
 	})
 }
 
-// hearLimit takes in the limit that the answer to a call names, or that it names none.
-func (e *Entry) hearLimit(spec *config.Endpoint, n endpoint.Notice, sent time.Time) {
+// receiveLimit records the limit that the answer to a call names, or that it names none.
+func (e *Entry) receiveLimit(spec *config.Endpoint, n endpoint.Notice, sent time.Time) {
 	s := n.Limit
 	switch {
 	case s.Unreadable != "":
-		e.unreadable(&e.Heard.BadLimits, "endpoint names a limit that can't be read", spec, s.Unreadable)
+		e.recordUnreadable(&e.Heard.BadLimits, "endpoint names a limit that can't be read", spec, s.Unreadable)
 	case s.Named:
 		e.owners.Heard(spec, pace.Word{Named: true, PerSecond: s.PerSecond, At: clock.Now(), Born: spec.Born})
 	case n.Certain:
@@ -66,10 +66,11 @@
 	}
 }
 
-// hearNotice takes in that an endpoint leaves, or wants no request of this host for some time.
-func (e *Entry) hearNotice(spec *config.Endpoint, n endpoint.Notice, sent time.Time) {
+// receiveNotice records that an endpoint is leaving, or wants no request from this host for
+// some time.
+func (e *Entry) receiveNotice(spec *config.Endpoint, n endpoint.Notice, sent time.Time) {
 	if n.UnreadableRest != "" {
-		e.unreadable(&e.Heard.BadRests, "endpoint asks for a rest that can't be read", spec, n.UnreadableRest)
+		e.recordUnreadable(&e.Heard.BadRests, "endpoint asks for a rest that can't be read", spec, n.UnreadableRest)
 	}
 	c := e.board.Endpoints.Notice(route.Number(spec.Name), route.Notice{Leaving: n.Leaving, Rest: n.Rest, Born: spec.Born, Sent: sent, Heard: time.Now()})
 	if c.Leaves {
@@ -80,30 +81,32 @@
 	}
 }
 
-// unreadable notes what an endpoint said of itself that can't be read. What was heard before
-// holds on: an endpoint in need isn't sent all there is for a slip.
-func (e *Entry) unreadable(count *atomic.Uint64, msg string, spec *config.Endpoint, value string) {
+// recordUnreadable counts and logs a notice that can't be parsed. The values received
+// before stay in force: an overloaded endpoint isn't sent the full load because of a
+// malformed notice.
+func (e *Entry) recordUnreadable(count *atomic.Uint64, msg string, spec *config.Endpoint, value string) {
 	soFar := count.Add(1)
-	if e.slips.due(time.Now()) {
+	if e.unreadableLog.due(time.Now()) {
 		e.log.Warn(msg, zap.String("endpoint", spec.Name), zap.String("value", value), zap.Uint64("so_far", soFar))
 	}
 }
 
-// slipEvery is the least time between two log lines on what can't be read.
-const slipEvery = 10 * time.Second
+// unreadableLogInterval is the least time between two log lines about notices that can't be
+// parsed.
+const unreadableLogInterval = 10 * time.Second
 
-// slips says when something that can't be read is logged.
-type slips struct {
+// logThrottle limits how often notices that can't be parsed are logged.
+type logThrottle struct {
 	mu   sync.Mutex
 	next time.Time
 }
 
-func (s *slips) due(now time.Time) bool {
+func (s *logThrottle) due(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if now.Before(s.next) {
 		return false
 	}
-	s.next = now.Add(slipEvery)
+	s.next = now.Add(unreadableLogInterval)
 	return true
 }
--- a/entry/input_test.go
+++ b/entry/input_test.go
@@ -13,8 +13,8 @@
 	"github.com/embercove/embercove/trial"
 )
 
-// TestBadInput checks that each fault of a call has its numbered code and
-// reaches no endpoint.
+// TestBadInput checks that each invalid call gets its numbered code and reaches no
+// endpoint.
 func TestBadInput(t *testing.T) {
 	c, err := trial.Start(trial.Options{Document: examples.Domaskra, Hosts: 1, Fatal: func(m string) { t.Error(m) },
 		Change: func(d *config.Document) {
--- a/entry/job.go
+++ b/entry/job.go
@@ -16,53 +16,53 @@
 	"github.com/embercove/embercove/route"
 )
 
-// job is one request on its way.
+// job is one request in progress.
 type job struct {
 	headers
-	id       request.ID
-	mark     uint64              // of the id by which engines list it; 0: the attempt's
-	asks     request.Fingerprint // what it asks for, whoever else asked for it before
-	view     *config.View        // the revision that it was admitted under
-	route    *config.RouteView
-	pool     string         // of the route's pools, the one that it goes to; empty: no pools
-	work     *endpoint.Work // what engines are given
-	prompted bool           // it goes to engines, not to a plain service
-	out      reply
-	came     time.Time
-	tokens   int // of the prompt
-	expected int // of the answer, by the caller's guess; 0: none
-	pick     route.Request
-	emptied  uint64 // failure domains, as in pick.Shut, of which one owner said in this try that they are
-	away     away
-	// refusedIn are the regions that it left for in this try and that refused it: it leaves
-	// early, during a wait and at the end, and asked one of two regions three times so.
-	refusedIn config.Regions
-	regions   string // what was decided about other regions, for the log
-	teamNum   uint32
-	drawn     float64 // of the team's quota, in its unit
+	id                request.ID
+	engineID          uint64              // hash of the id by which engines list it; 0: the attempt's id is used
+	fingerprint       request.Fingerprint // of its content; the same for every caller that sends it
+	view              *config.View        // the revision that it was admitted under
+	route             *config.RouteView
+	pool              string         // pool of the route that it uses; empty: no pools
+	work              *endpoint.Work // what engines receive
+	prompted          bool           // it runs on engines, not on a plain service
+	reply             replyWriter
+	arrived           time.Time
+	tokens            int // of the prompt
+	expected          int // answer tokens estimated by the caller; 0: none
+	criteria          route.Request
+	reportedEvacuated uint64 // failure domains, as bits of criteria.Shut, that one owner in this try reported as evacuated
+	redirect          redirect
+	// refusedRegions are the regions that it was redirected to in this try and that refused
+	// it. Without them it asked one of two regions three times: early, during a wait and at
+	// the end.
+	refusedRegions config.Regions
+	regionLog      string // decisions about other regions, for the log
+	teamNumber     uint32
+	quotaDrawn     float64 // from the team's quota, in its unit
 
-	ran      bool             // some call may have run at an endpoint
-	started  bool             // not repeatable: it was started
-	trial    bool             // it holds a trial, as endpoints ended under the same request
-	settled  bool             // its answer goes on well in that trial
-	tried    time.Duration    // that it waited for trials: it may be late by it, but isn't refused for it
-	ended    int              // endpoints that ended as they ran it, in this attempt
-	waste    int              // tokens read that no answer came of, so far
-	read     int              // tokens read in all
-	attempts int              // calls that may have run at an endpoint
-	tries    int              // passes of the whole way
-	unsent   int              // passes that count as none, as no call was made
-	reads    int              // calls to prefill endpoints
-	sends    int              // calls to decode endpoints or services
-	phases   [5]time.Duration // for the log: since came, at the end of each
-	prefill  string
-	decode   string
-	last     *endpoint.Answer // failure that an endpoint answered with
-	logged   logged
+	possiblyRan    bool             // some call may have run at an endpoint
+	started        bool             // not repeatable: it was started
+	probing        bool             // it holds a probe, as endpoints crashed under the same request
+	settled        bool             // its answer has progressed far enough in that probe
+	probeWaited    time.Duration    // time it waited for probes: it may be late by this much, but isn't refused for it
+	crashCount     int              // endpoints that crashed as they ran it, in this attempt
+	wastedTokens   int              // prefilled tokens that led to no answer, so far
+	prefilledTotal int              // tokens prefilled in all
+	attempts       int              // calls that may have run at an endpoint
+	tries          int              // passes from reservation on
+	uncountedTries int              // passes not counted in tries, as no call was made
+	prefillCalls   int              // calls to prefill endpoints
+	decodeCalls    int              // calls to decode endpoints or services
+	phases         [5]time.Duration // for the log: time since arrived at the end of each phase
+	prefillName    string
+	decodeName     string
+	lastFailure    *endpoint.Answer // failure that an endpoint answered with
+	logged         logged
 }
 
-// target returns the time to the first piece, or to the answer, that counts
-// as in time.
+// target returns the time to the first chunk, or to the answer, that the job should meet.
 func (j *job) target() time.Duration {
 	if j.route.TargetMillis > 0 {
 		return time.Duration(j.route.TargetMillis) * time.Millisecond
@@ -70,8 +70,8 @@
 	return j.view.Doc.Targets.TTFT()
 }
 
-// mostAttempts returns how many endpoints the job may run on.
-func (j *job) mostAttempts() int {
+// maxAttempts returns how many endpoints the job may run on.
+func (j *job) maxAttempts() int {
 	if j.route.MaxAttempts > 0 {
 		return j.route.MaxAttempts
 	}
@@ -80,7 +80,7 @@
 
 // completions serves both completion paths.
 func (e *Entry) completions(w http.ResponseWriter, q *http.Request) {
-	v, src, ok := e.receive(w, q, apiCaller)
+	v, src, ok := e.receiveCall(w, q, apiCaller)
 	if !ok {
 		return
 	}
@@ -90,9 +90,9 @@
 		e.refuse(w, q, refusal, apiCaller)
 		return
 	}
-	j.identify(q, src)
-	j.out = newAnswer(w, j, chat)
-	e.carry(q.Context(), j, xxhash.Sum64(src), func(ctx context.Context) *result.Error { return e.run(ctx, j) })
+	j.setFingerprint(q, src)
+	j.reply = newAnswer(w, j, chat)
+	e.execute(q.Context(), j, xxhash.Sum64(src), func(ctx context.Context) *result.Error { return e.run(ctx, j) })
 }
 
 // admit checks a call and makes a job of it.
@@ -116,39 +116,39 @@
 	hd.labels["team"], hd.labels["model"] = hd.team.Name, body.Model
 	r := v.Match(hd.labels, false)
 	if r == nil {
-		return nil, result.Errorf(result.NoRoute, "no route takes a request with these labels")
+		return nil, result.Errorf(result.NoRoute, "no route matches the request's labels")
 	}
 	j := e.newJob(v, r, hd)
 	j.prompted, j.tokens = true, tokens
-	j.priority = max(hd.priority, rank(hd.team, r)) // a request may lower itself, not raise
+	j.priority = max(hd.priority, teamPriority(hd.team, r)) // a request may lower its priority, not raise it
 	j.work = &endpoint.Work{Completion: endpoint.Completion{Model: body.Model, Prompt: body.Prompt, MaxTokens: *body.MaxTokens,
 		Stream: body.Stream, Priority: j.priority}}
-	j.pick.Model, j.pick.Tokens, j.pick.MaxAnswer = body.Model, tokens, *body.MaxTokens
-	j.pick.Head, j.pick.HasHead = endpoint.Head(body.Prompt)
+	j.criteria.Model, j.criteria.Tokens, j.criteria.MaxAnswer = body.Model, tokens, *body.MaxTokens
+	j.criteria.Head, j.criteria.HasHead = endpoint.Head(body.Prompt)
 	return j, nil
 }
 
-// newJob returns a job of a route; what is asked for is still to be set.
+// newJob returns a job of a route; the caller sets what it asks for.
 func (e *Entry) newJob(v *config.View, r *config.RouteView, hd headers) *job {
-	j := &job{headers: hd, id: e.board.NextID(), view: v, route: r, came: time.Now(), teamNum: config.NameNumber(hd.team.Name)}
-	j.pick = route.Request{Hosts: e.board.Hosts.Len(), Home: v.DomainIndex(e.board.Settings.Domain), Region: v.RegionSet(e.board.Settings.Region),
-		Seed: e.turn.Add(1)<<32 ^ uint64(e.board.Number)}
+	j := &job{headers: hd, id: e.board.NextID(), view: v, route: r, arrived: time.Now(), teamNumber: config.NameNumber(hd.team.Name)}
+	j.criteria = route.Request{Hosts: e.board.Hosts.Len(), Home: v.DomainIndex(e.board.Settings.Domain), Region: v.RegionSet(e.board.Settings.Region),
+		Seed: e.sequence.Add(1)<<32 ^ uint64(e.board.Number)}
 	return j
 }
 
-// identify notes what a job asks for.
-func (j *job) identify(q *http.Request, body []byte) {
-	j.asks = request.FingerprintOf(j.team.Name, hostName(q.Host), q.Method, q.URL.RequestURI(), body)
+// setFingerprint sets the fingerprint of the job's request.
+func (j *job) setFingerprint(q *http.Request, body []byte) {
+	j.fingerprint = request.FingerprintOf(j.team.Name, hostName(q.Host), q.Method, q.URL.RequestURI(), body)
 }
 
-// carry takes a job from its row in the table of requests to its outcome.
-func (e *Entry) carry(ctx context.Context, j *job, bodyHash uint64, run func(ctx context.Context) *result.Error) {
-	row := blackboard.Request{ID: j.id, Team: j.team.Name, Model: j.work.Model, Phase: blackboard.PhaseReserve, Since: j.came, PhaseSince: j.came, Tokens: j.tokens}
-	if refusal := e.blamed(j); refusal != nil {
+// execute takes a job from its row in the request table to its result.
+func (e *Entry) execute(ctx context.Context, j *job, bodyHash uint64, run func(ctx context.Context) *result.Error) {
+	row := blackboard.Request{ID: j.id, Team: j.team.Name, Model: j.work.Model, Phase: blackboard.PhaseReserve, Since: j.arrived, PhaseSince: j.arrived, Tokens: j.tokens}
+	if refusal := e.quarantineRefusal(j); refusal != nil {
 		e.finish(j, refusal, false)
 		return
 	}
-	if refusal := e.draw(ctx, j); refusal != nil {
+	if refusal := e.drawQuota(ctx, j); refusal != nil {
 		e.finish(j, refusal, false)
 		return
 	}
@@ -165,23 +165,23 @@
 		defer end()
 	}
 	if j.key != "" {
-		if refusal := e.takeKey(ctx, j, bodyHash); refusal != nil {
+		if refusal := e.acquireKey(ctx, j, bodyHash); refusal != nil {
 			e.finish(j, refusal, true)
 			return
 		}
 	}
 	err := run(ctx)
-	e.endTrial(j)
-	e.goHome(j)
+	e.endProbe(j)
+	e.returnToLocalRegion(j)
 	if err == nil {
 		err = result.Errorf(result.OK, "")
 	}
-	e.finish(j, e.final(ctx, j, err), true)
+	e.finish(j, e.finalResult(ctx, j, err), true)
 }
 
-// final turns an outcome into what may be said: a job that may have run is
-// never called not run, and a caller that left is named as the cause.
-func (e *Entry) final(ctx context.Context, j *job, err *result.Error) *result.Error {
+// finalResult turns a result into what the caller may receive: a job that may have run is
+// never reported as not run, and if the caller left, that is the cause.
+func (e *Entry) finalResult(ctx context.Context, j *job, err *result.Error) *result.Error {
 	if err.Code == result.OK {
 		return err
 	}
@@ -189,12 +189,12 @@
 	case context.Canceled:
 		return result.Errorf(result.CallerGone, "the caller left")
 	case context.DeadlineExceeded:
-		if j.ran {
+		if j.possiblyRan {
 			return result.Errorf(result.DeadlinePassed, "the deadline passed")
 		}
 		return result.Errorf(result.TooLate, "the deadline passed before the request ran").After(time.Second)
 	}
-	if j.ran && err.Code.NotRun() {
+	if j.possiblyRan && err.Code.NotRun() {
 		if !j.repeatable {
 			return result.Errorf(result.OutcomeUnknown, "%s", err.Detail)
 		}
@@ -205,11 +205,11 @@
 
 // outcome returns what is recorded of a job.
 func (j *job) outcome(code result.Code) report.Outcome {
-	o := report.Outcome{Team: j.team.Name, Code: code, Prefilled: j.read, Wasted: j.waste, Attempts: j.attempts, Tries: j.tries, Service: !j.prompted}
+	o := report.Outcome{Team: j.team.Name, Code: code, Prefilled: j.prefilledTotal, Wasted: j.wastedTokens, Attempts: j.attempts, Tries: j.tries, Service: !j.prompted}
 	if j.prompted {
 		o.Model = j.work.Model
-		o.Tokens = j.out.pieces()
+		o.Tokens = j.reply.chunks()
 	}
-	o.TTFT, o.TPOT = j.out.times(j.came)
+	o.TTFT, o.TPOT = j.reply.times(j.arrived)
 	return o
 }
--- a/entry/key.go
+++ b/entry/key.go
@@ -11,17 +11,17 @@
 	"github.com/embercove/embercove/result"
 )
 
-// takeKey takes the job's idempotency key, or says what became of it.
-func (e *Entry) takeKey(ctx context.Context, j *job, bodyHash uint64) *result.Error {
+// acquireKey acquires the job's idempotency key, or returns why it can't.
+func (e *Entry) acquireKey(ctx context.Context, j *job, bodyHash uint64) *result.Error {
 	rec := blackboard.KeyRecord{Key: xxhash.Sum64String(j.team.Name + "\x00" + j.key), Body: bodyHash, ID: j.id}
 	reply, err := e.owners.KeyBegin(ctx, peer.KeyArgs{Record: rec, AgeMillis: j.keyAge.Milliseconds()})
 	if err != nil {
 		j.key = ""
-		return result.Errorf(result.KeyOutOfReach, "the holders of the key are out of reach").After(2 * time.Second)
+		return result.Errorf(result.KeyOutOfReach, "the hosts that hold the key are unreachable").After(2 * time.Second)
 	}
 	key := j.key
 	if reply.State != blackboard.KeyNew {
-		j.key = "" // not ours to end
+		j.key = "" // it isn't this job's to finish
 	}
 	switch reply.State {
 	case blackboard.KeyRunning:
@@ -31,14 +31,14 @@
 	case blackboard.KeyMismatch:
 		return result.Errorf(result.KeyMismatch, "%s %q: used before with another body", HeaderKey, key)
 	case blackboard.KeyUnknown:
-		j.ran = true // perhaps, under another host
+		j.possiblyRan = true // possibly, under another host
 		return result.Errorf(result.OutcomeUnknown, "%s %q: an earlier request may have run", HeaderKey, key)
 	}
 	return nil
 }
 
-// endKey tells the key's holders how the job ended.
-func (e *Entry) endKey(j *job, code result.Code) {
+// finishKey reports to the key's holders how the job ended.
+func (e *Entry) finishKey(j *job, code result.Code) {
 	if j.key == "" {
 		return
 	}
@@ -48,7 +48,7 @@
 		state = blackboard.KeyAnswered
 	case code.NotRun():
 		state = blackboard.KeyNew
-	case j.repeatable && j.prompted && j.out.pieces() == 0 && code != result.OutcomeUnknown:
+	case j.repeatable && j.prompted && j.reply.chunks() == 0 && code != result.OutcomeUnknown:
 		state = blackboard.KeyNew // nothing was answered, and it may run again
 	}
 	rec := blackboard.KeyRecord{Key: xxhash.Sum64String(j.team.Name + "\x00" + j.key), ID: j.id, State: state}
--- a/entry/late.go
+++ b/entry/late.go
@@ -9,46 +9,47 @@
 	"github.com/embercove/embercove/request"
 )
 
-// A caller's deadline passes also while the machine is suspended, when timers stand still and
-// run on for their full rest afterwards.
+// A caller's deadline passes also while the machine is suspended. Timers stand still then,
+// and run for their full remaining time afterwards.
 
-// waiting are the requests in progress that have a deadline.
-type waiting struct {
-	mu sync.Mutex
-	of map[request.ID]waiter
+// deadlines holds the requests in progress that have a deadline.
+type deadlines struct {
+	mu   sync.Mutex
+	byID map[request.ID]pendingDeadline
 }
 
-// waiter is one of them.
-type waiter struct {
+// pendingDeadline is the deadline of one request.
+type pendingDeadline struct {
 	end    time.Time // by package clock
 	cancel context.CancelCauseFunc
 }
 
-// withDeadline returns a context that ends with a job's deadline, and what is to be called once
-// the job has ended.
+// withDeadline returns a context that ends with a job's deadline, and a function to call
+// when the job has ended.
 func (e *Entry) withDeadline(ctx context.Context, j *job) (context.Context, func()) {
 	ended, cancelCause := context.WithCancelCause(ctx)
-	limited, cancel := context.WithDeadline(ended, j.came.Add(j.deadline))
-	w := waiter{end: clock.Now().Add(time.Until(j.came.Add(j.deadline))), cancel: cancelCause}
-	e.waiting.mu.Lock()
-	e.waiting.of[j.id] = w
-	e.waiting.mu.Unlock()
+	limited, cancel := context.WithDeadline(ended, j.arrived.Add(j.deadline))
+	w := pendingDeadline{end: clock.Now().Add(time.Until(j.arrived.Add(j.deadline))), cancel: cancelCause}
+	e.deadlines.mu.Lock()
+	e.deadlines.byID[j.id] = w
+	e.deadlines.mu.Unlock()
 	return limited, func() {
-		e.waiting.mu.Lock()
-		delete(e.waiting.of, j.id)
-		e.waiting.mu.Unlock()
+		e.deadlines.mu.Lock()
+		delete(e.deadlines.byID, j.id)
+		e.deadlines.mu.Unlock()
 		cancel()
 		cancelCause(nil)
 	}
 }
 
-// EndLate ends the requests whose deadlines have passed, to be called after a pause: 10 s of
-// suspension else kept a request that had 3 s left at its endpoint for 3 s more.
+// EndLate ends the requests whose deadlines have passed. It must be called after a pause:
+// otherwise, after 10 s of suspension, a request with 3 s left stayed at its endpoint for 3
+// s more.
 func (e *Entry) EndLate() {
 	now := clock.Now()
-	e.waiting.mu.Lock()
-	defer e.waiting.mu.Unlock()
-	for _, w := range e.waiting.of {
+	e.deadlines.mu.Lock()
+	defer e.deadlines.mu.Unlock()
+	for _, w := range e.deadlines.byID {
 		if !now.Before(w.end) {
 			w.cancel(context.DeadlineExceeded)
 		}
--- a/entry/latency.go
+++ b/entry/latency.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// latencyBounds are the upper bounds of the buckets of latencies, in seconds.
+// latencyBounds are the upper bounds of the latency buckets, in seconds.
 var latencyBounds = [...]float64{0.02, 0.05, 0.1, 0.2, 0.3, 0.5, 0.75, 0.9, 1.2, 2, 4, 8}
 
-// Kind is a kind of request, for metrics.
+// Kind classifies requests for metrics.
 type Kind int
 
 // The kinds of requests.
@@ -36,8 +36,8 @@
 	return k
 }
 
-// LatencyRecorder counts times to the first piece, or to the answer, in
-// buckets. The zero value works.
+// LatencyRecorder counts times to the first chunk, or to the answer, in buckets. The zero
+// value is ready to use.
 type LatencyRecorder struct {
 	mu   sync.Mutex
 	rows [kinds]Latency
--- a/entry/leaving_test.go
+++ b/entry/leaving_test.go
@@ -21,45 +21,45 @@
 	"github.com/embercove/embercove/result"
 )
 
-// leavingScene is a pool of which endpoints leave at moments of a request's way.
+// leavingScene is a pool whose endpoints leave at given steps of a request.
 type leavingScene struct {
 	endpoint.Engine
 	stubOwners
-	t       *testing.T
-	board   *blackboard.Board
-	left    map[string]bool
-	leaves  map[string]bool // moments at which whoever is concerned leaves, once each
-	full    int             // decode calls that are refused first
-	empty   bool            // failure domain b, which has p2 and d2, or a is emptied instead
-	more    []string        // further endpoints
-	emptied []string        // failure domains that are emptied from the beginning
-	ahead   bool            // owners know of it, this host doesn't
-	order   []string        // of calls
-	far     map[string]bool // endpoints of domain b
-	turned  func()          // called once, as the first turn comes; nil: nothing
+	t           *testing.T
+	board       *blackboard.Board
+	hasLeft     map[string]bool
+	leaveAt     map[string]bool // steps at which the endpoint concerned leaves, once each
+	fullCalls   int             // decode calls that are refused as full
+	evacuate    bool            // instead of leaving, its failure domain is evacuated: b, which has p2 and d2, or a
+	extra       []string        // further endpoints
+	evacuated   []string        // failure domains that are evacuated from the beginning
+	ownersAhead bool            // owners know of the evacuation, this host doesn't
+	callOrder   []string        // calls, in order
+	inDomainB   map[string]bool // endpoints of domain b
+	onEnqueue   func()          // called once, with the first prefill slot; nil: nothing
 }
 
-// Moments.
+// Steps of a request.
 const (
-	atTurn    = "as its turn comes"
-	atReading = "as the prompt is read"
-	atFull    = "as it is full"
-	atStart   = "as a start is asked for"
+	atEnqueue = "as it gets its slot"
+	atPrefill = "during the prefill"
+	atFull    = "while it is full"
+	atPermit  = "as a permit is requested"
 )
 
 func (s *leavingScene) publish() {
-	roster := &config.RosterList{Revision: config.Position(len(s.left) + 1)}
-	for _, d := range s.emptied {
+	roster := &config.RosterList{Revision: config.Position(len(s.hasLeft) + 1)}
+	for _, d := range s.evacuated {
 		roster.Evacuated = append(roster.Evacuated, config.Evacuation{Domain: d, Revision: roster.Revision})
 	}
-	for i, name := range append([]string{"p1", "p2", "d1", "d2"}, s.more...) {
+	for i, name := range append([]string{"p1", "p2", "d1", "d2"}, s.extra...) {
 		role := config.Prefill
 		if name[0] == 'd' {
 			role = config.Decode
 		}
 		roster.Endpoints = append(roster.Endpoints, config.Endpoint{Name: name, Address: fmt.Sprintf("10.0.0.%d:1", i), Domain: s.domain(name),
-			Pool: "p", Role: role, Model: "m", Version: "1", Leaving: s.left[name] && !s.empty})
-		if s.empty && s.left[name] && role == config.Prefill && !s.ahead {
+			Pool: "p", Role: role, Model: "m", Version: "1", Leaving: s.hasLeft[name] && !s.evacuate})
+		if s.evacuate && s.hasLeft[name] && role == config.Prefill && !s.ownersAhead {
 			roster.Evacuated = append(roster.Evacuated, config.Evacuation{Domain: s.domain(name), Revision: roster.Revision})
 		}
 	}
@@ -71,59 +71,60 @@
 
 // domain returns the failure domain of an endpoint.
 func (s *leavingScene) domain(name string) string {
-	if s.far[name] || s.empty && name[1] == '2' {
+	if s.inDomainB[name] || s.evacuate && name[1] == '2' {
 		return "b"
 	}
 	return "a"
 }
 
-// leave has an endpoint leave if it does so at this moment, or its failure domain be emptied.
-func (s *leavingScene) leave(moment, name string) {
-	if s.leaves[moment] {
-		s.leaves[moment] = false
-		s.left[name] = true
-		if s.empty {
-			s.left["p"+name[1:]], s.left["d"+name[1:]] = true, true
+// leaveNow makes an endpoint leave, or its failure domain be evacuated, if that is
+// configured for this step.
+func (s *leavingScene) leaveNow(moment, name string) {
+	if s.leaveAt[moment] {
+		s.leaveAt[moment] = false
+		s.hasLeft[name] = true
+		if s.evacuate {
+			s.hasLeft["p"+name[1:]], s.hasLeft["d"+name[1:]] = true, true
 		}
 		s.publish()
 	}
 }
 
-func (s *leavingScene) call(kind, name string) {
-	s.order = append(s.order, kind+" "+name)
-	if s.left[name] {
-		s.t.Errorf("%s %s, which has left (%v)", kind, name, s.order)
+func (s *leavingScene) recordCall(kind, name string) {
+	s.callOrder = append(s.callOrder, kind+" "+name)
+	if s.hasLeft[name] {
+		s.t.Errorf("%s %s, which is leaving (%v)", kind, name, s.callOrder)
 	}
 }
 
 func (s *leavingScene) Traits() endpoint.Traits { return endpoint.Traits{HangUpAborts: true} }
 
 func (s *leavingScene) Enqueue(ctx context.Context, spec *config.Endpoint, a owner.EnqueueArgs) (owner.EnqueueReply, error) {
-	s.leave(atTurn, spec.Name)
-	if turned := s.turned; turned != nil {
-		s.turned = nil
+	s.leaveNow(atEnqueue, spec.Name)
+	if turned := s.onEnqueue; turned != nil {
+		s.onEnqueue = nil
 		turned()
 	}
-	if s.ahead && s.left[spec.Name] {
+	if s.ownersAhead && s.hasLeft[spec.Name] {
 		return owner.EnqueueReply{Code: result.Evacuated, Retry: 2000}, nil
 	}
 	return s.stubOwners.Enqueue(ctx, spec, a)
 }
 
 func (s *leavingScene) Reserve(ctx context.Context, spec *config.Endpoint, a owner.ReserveArgs) (owner.ReserveReply, error) {
-	s.order = append(s.order, "reserve "+spec.Name)
-	if s.ahead && s.left[spec.Name] {
+	s.callOrder = append(s.callOrder, "reserve "+spec.Name)
+	if s.ownersAhead && s.hasLeft[spec.Name] {
 		return owner.ReserveReply{Code: result.Evacuated, Retry: 2000}, nil
 	}
 	return s.stubOwners.Reserve(ctx, spec, a)
 }
 
 func (s *leavingScene) Prefill(_ context.Context, c endpoint.Call, _ *endpoint.Work) (*endpoint.PrefillAnswer, error) {
-	s.call("read at", c.Name)
-	for i := len(s.order) - 1; i >= 0; i-- {
+	s.recordCall("prefill at", c.Name)
+	for i := len(s.callOrder) - 1; i >= 0; i-- {
 		var dec string
-		if n, _ := fmt.Sscanf(s.order[i], "reserve %s", &dec); n == 1 {
-			s.leave(atReading, dec)
+		if n, _ := fmt.Sscanf(s.callOrder[i], "reserve %s", &dec); n == 1 {
+			s.leaveNow(atPrefill, dec)
 			break
 		}
 	}
@@ -131,10 +132,10 @@
 }
 
 func (s *leavingScene) Decode(_ context.Context, c endpoint.Call, _ *endpoint.Work) (endpoint.Stream, error) {
-	s.call("write at", c.Name)
-	if s.full > 0 {
-		s.full--
-		s.leave(atFull, c.Name)
+	s.recordCall("decode at", c.Name)
+	if s.fullCalls > 0 {
+		s.fullCalls--
+		s.leaveNow(atFull, c.Name)
 		return nil, &endpoint.CallError{Address: c.Address, Status: 503, Cause: errors.New("full")}
 	}
 	return &oneChunk{id: c.Attempt}, nil
@@ -142,74 +143,74 @@
 
 func (s *leavingScene) Discard(context.Context, *endpoint.Transfer) error { return nil }
 
-// oneChunk is an answer of one piece.
+// oneChunk is an answer of one chunk.
 type oneChunk struct {
 	id   string
-	over bool
+	sent bool
 }
 
 func (o *oneChunk) Head() *endpoint.AnswerHead { return &endpoint.AnswerHead{Status: 200} }
 
 func (o *oneChunk) Next() (*endpoint.Chunk, error) {
-	if o.over {
+	if o.sent {
 		return nil, io.EOF
 	}
-	o.over = true
+	o.sent = true
 	return &endpoint.Chunk{ID: o.id, Raw: []byte("data: x\n\n")}, nil
 }
 
 func (o *oneChunk) Close() error { return nil }
 
-// twoDomains is likelyDocument with a failure domain b beside a.
-var twoDomains = strings.Replace(likelyDocument, `{"name": "a", "region": "r"}`, `{"name": "a", "region": "r", "link_bytes_per_second": 1000000000},
+// twoDomains is engineDocument with a second failure domain, b.
+var twoDomains = strings.Replace(engineDocument, `{"name": "a", "region": "r"}`, `{"name": "a", "region": "r", "link_bytes_per_second": 1000000000},
 	{"name": "b", "region": "r", "link_bytes_per_second": 1000000000}`, 1)
 
-// run has one request go its way, while endpoints leave at some moments.
+// run runs one request, while endpoints leave at the given steps.
 func (s *leavingScene) run(t *testing.T, leaves []string) (*result.Error, string) {
 	settings := &config.Settings{Host: "h", Domain: "a", Region: "r"}
 	settings.SetDefaults()
-	s.t, s.board, s.left, s.leaves = t, blackboard.New(settings), map[string]bool{}, map[string]bool{}
+	s.t, s.board, s.hasLeft, s.leaveAt = t, blackboard.New(settings), map[string]bool{}, map[string]bool{}
 	if _, err := s.board.Config.Offer(1, []byte(twoDomains)); err != nil {
 		t.Fatal(err)
 	}
 	for _, moment := range leaves {
-		s.leaves[moment] = true
+		s.leaveAt[moment] = true
 	}
 	s.publish()
 	e := New(s.board, s, s, report.NewRecorder(), zap.NewNop())
 	v := s.board.Config.View()
 	j := promptedJob(e, v, defaultTeam)
 	rec := httptest.NewRecorder()
-	j.out = newPassage(rec, writeError)
+	j.reply = newPassthrough(rec, writeError)
 	refusal := e.run(t.Context(), j)
 	return refusal, rec.Body.String()
 }
 
-// TestLeavesMeanwhile checks that a request which waits, for its turn, for its
-// prompt or for room, is not sent to an endpoint that has begun to leave in that
-// time, and is served by another.
+// TestLeavesMeanwhile checks that a request which waits for its prefill slot, its prefill
+// or decode memory isn't sent to an endpoint that began to leave in that time, and is
+// served by another.
 func TestLeavesMeanwhile(t *testing.T) {
 	cases := []struct {
 		name   string
 		leaves []string
 		full   int
 	}{
-		{"nobody leaves", nil, 0},
-		{"the prefill engine leaves as its turn comes", []string{atTurn}, 0},
-		{"the decode engine leaves as the prompt is read", []string{atReading}, 0},
+		{"none leaves", nil, 0},
+		{"the prefill engine leaves as the request gets its slot", []string{atEnqueue}, 0},
+		{"the decode engine leaves during the prefill", []string{atPrefill}, 0},
 		{"the decode engine is full and leaves", []string{atFull}, 1},
-		{"both leave", []string{atTurn, atReading}, 0},
+		{"both leave", []string{atEnqueue, atPrefill}, 0},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := &leavingScene{full: tc.full}
+				s := &leavingScene{fullCalls: tc.full}
 				if refusal, body := s.run(t, tc.leaves); refusal != nil || body != "data: x\n\n" {
-					t.Errorf("%v, body %q, after %v", refusal, body, s.order)
+					t.Errorf("%v, body %q, after %v", refusal, body, s.callOrder)
 				}
-				for moment, still := range s.leaves {
+				for moment, still := range s.leaveAt {
 					if still {
-						t.Errorf("nobody left %s", moment)
+						t.Errorf("no endpoint left %s", moment)
 					}
 				}
 			})
--- a/entry/likely_test.go
+++ b/entry/likely_test.go
@@ -11,35 +11,35 @@
 	"github.com/embercove/embercove/route"
 )
 
-const likelyDocument = `{"failure_domains": [{"name": "a", "region": "r"}], "targets": {"ttft_ms": 900, "tpot_ms": 10},
+const engineDocument = `{"failure_domains": [{"name": "a", "region": "r"}], "targets": {"ttft_ms": 900, "tpot_ms": 10},
 "models": [{"name": "m", "version": "1", "max_tokens": 90000, "kv_bytes_per_token": 1}],
 "pools": [{"name": "p", "memory_tokens": 90000, "slots": 64, "step_micros": 700, "step_micros_each": 30, "link_bytes_per_second": 1000000000, "result_keep_ms": 5000}],
 "routes": [{"name": "ask", "host": "h", "path_prefix": "/", "target_ms": 900, "pools": [{"pool": "p", "weight": 1}]}]}`
 
-// TestStopsBefore checks which requests a host that is about to stop leaves to
-// others: those whose answers may well be cut, and once it has been leaving for
-// long, those of which it is not sure that they won't be.
+// TestStopsBefore checks which requests a host that is about to stop leaves to others:
+// those whose answers are likely to be cut off and, once it has been leaving for long,
+// those whose answers could be cut off.
 func TestStopsBefore(t *testing.T) {
 	cases := []struct {
 		name     string
 		prompted bool
 		expected int
 		asked    int
-		slow     uint16        // pace of the pool's engines against the configured, in hundredths; 0: unknown
+		slow     uint16        // step time of the pool's engines relative to the configured one, in percent; 0: unknown
 		leaving  time.Duration // for how long; below 0: no stop is planned
 		stopIn   time.Duration
 		refused  bool
 	}{
 		{"no stop", true, 8_000, 10_880, 100, -1, 0, false},
 		{"a short answer", true, 1_000, 10_880, 100, 0, 6 * time.Second, false},
-		{"the same, pace unknown", true, 1_000, 10_880, 0, 0, 6 * time.Second, false},
+		{"the same, speed unknown", true, 1_000, 10_880, 0, 0, 6 * time.Second, false},
 		{"a long answer", true, 6_000, 10_880, 100, 0, 6 * time.Second, true},
 		{"a long answer, far from the end", true, 6_000, 10_880, 100, 0, 15 * time.Second, false},
-		{"no guess", true, 0, 10_880, 100, 0, 6 * time.Second, true},
+		{"no estimate", true, 0, 10_880, 100, 0, 6 * time.Second, true},
 		{"a plain call", false, 0, 0, 100, 0, 2 * time.Second, false},
-		{"short at an engine that writes slowly", true, 700, 1_530, 700, 0, 6 * time.Second, true},
+		{"short at a slow engine", true, 700, 1_530, 700, 0, 6 * time.Second, true},
 		{"short, and leaving for long", true, 500, 1_530, 700, 4 * time.Second, 3 * time.Second, true},
-		{"guessed very short, and leaving for long", true, 100, 1_530, 700, 4 * time.Second, 3 * time.Second, true},
+		{"estimated very short, and leaving for long", true, 100, 1_530, 700, 4 * time.Second, 3 * time.Second, true},
 		{"the same, and leaving just now", true, 100, 1_530, 700, 0, 3 * time.Second, false},
 		{"short in any case, and leaving for long", true, 200, 300, 700, 4 * time.Second, 4 * time.Second, false},
 	}
@@ -49,7 +49,7 @@
 				s := &config.Settings{Host: "h", Domain: "a", Region: "r"}
 				s.SetDefaults()
 				b := blackboard.New(s)
-				if _, err := b.Config.Offer(1, []byte(likelyDocument)); err != nil {
+				if _, err := b.Config.Offer(1, []byte(engineDocument)); err != nil {
 					t.Fatal(err)
 				}
 				roster := &config.RosterList{Revision: 1, Endpoints: []config.Endpoint{
@@ -67,7 +67,7 @@
 				}
 				j := &job{prompted: tc.prompted, expected: tc.expected, pool: "p", work: new(endpoint.Work), view: v, route: v.RouteFor("h", "/x")}
 				j.work.MaxTokens = tc.asked
-				if got := (&Entry{board: b}).stopsBefore(j); got != tc.refused {
+				if got := (&Entry{board: b}).stopsBeforeEnd(j); got != tc.refused {
 					t.Errorf("refused %v, want %v", got, tc.refused)
 				}
 			})
--- a/entry/limit_test.go
+++ b/entry/limit_test.go
@@ -17,8 +17,8 @@
 	"github.com/embercove/embercove/trial"
 )
 
-// TestSlowBody sends half a body and waits: the host cuts the caller off with
-// a numbered code instead of holding memory for it.
+// TestSlowBody sends half a body and then waits. The host must close the connection with a
+// numbered code instead of holding memory for it.
 func TestSlowBody(t *testing.T) {
 	c, err := trial.Start(trial.Options{Document: examples.Domaskra, Hosts: 1, Change: func(d *config.Document) { d.Limits.BodyReadMillis = 100 }})
 	if err != nil {
@@ -41,8 +41,8 @@
 	}
 }
 
-// TestTeamLimit has a team at its limit: its next request is refused as not
-// run, and another team's is served.
+// TestTeamLimit checks that the next request of a team at its limit is refused as not run,
+// while another team's is served.
 func TestTeamLimit(t *testing.T) {
 	c, err := trial.Start(trial.Options{Document: examples.Domaskra, Hosts: 1, Change: func(d *config.Document) {
 		for i := range d.Teams {
@@ -66,13 +66,13 @@
 		}
 		return res
 	}
-	first := post("press", "a long answer") // its head comes with the first token: it runs
+	first := post("press", "a long answer") // its head arrives with the first token: it runs
 	defer first.Body.Close()
 	second := post("press", "another")
 	defer second.Body.Close()
 	var p entry.Problem
 	if err := json.NewDecoder(second.Body).Decode(&p); err != nil || p.Error.Code != int(result.TeamLimit) || !p.Error.NotRun || p.Error.RetryMillis <= 0 {
-		t.Errorf("%v: %+v, want code %d, not run, with a time to come back", err, p.Error, result.TeamLimit)
+		t.Errorf("%v: %+v, want code %d, not run, with a retry time", err, p.Error, result.TeamLimit)
 	}
 	other := post("lawyers", "a third")
 	defer other.Body.Close()
--- a/entry/limited_test.go
+++ b/entry/limited_test.go
@@ -21,7 +21,8 @@
 	"github.com/embercove/embercove/route"
 )
 
-// serviceBoard returns a board with a plain service of some endpoints, s0, s1 and so on.
+// serviceBoard returns a board with a plain service of the given number of endpoints: s0,
+// s1 and so on.
 func serviceBoard(t *testing.T, endpoints int) *blackboard.Board {
 	t.Helper()
 	settings := &config.Settings{Host: "h", Domain: "a", Region: "r"}
@@ -41,15 +42,15 @@
 	return b
 }
 
-// TestNoStartNoTry has a service of eight endpoints, most or all of which name a limit that is
-// used up. Finding that out costs no try: the call is made where there is a start, or refused
-// at once with the soonest time at which there is one.
+// TestNoStartNoTry has a service of eight endpoints, most or all of which name a limit that
+// is used up. Detecting that must not use up tries: the call is made where there is a
+// permit, or refused at once with the earliest time at which there is one.
 func TestNoStartNoTry(t *testing.T) {
 	const endpoints = 8
 	none := peer.Start{In: 700 * time.Millisecond, Back: 900 * time.Millisecond}
 	for _, tc := range []struct {
 		name    string
-		without int // endpoints that have no start
+		without int // endpoints that have no permit
 		code    result.Code
 	}{
 		{"the last one has one", endpoints - 1, 0},
@@ -62,21 +63,21 @@
 				for i := range endpoints {
 					b.Endpoints.Hear(route.Number(fmt.Sprint("s", i)), clock.Now(), pace.Word{Named: true, PerSecond: 1, At: clock.Now()})
 				}
-				s := &startScene{leavingScene: &leavingScene{t: t, board: b}}
+				s := &coldScene{leavingScene: &leavingScene{t: t, board: b}}
 				for range tc.without {
-					s.script = append(s.script, none)
+					s.permits = append(s.permits, none)
 				}
-				e := New(b, serviceCalls{s}, s, report.NewRecorder(), zap.NewNop())
+				e := New(b, serviceEngine{s}, s, report.NewRecorder(), zap.NewNop())
 				j := e.newJob(v, v.RouteFor("h", "/x"), headers{team: defaultTeam})
-				j.pool, j.work, j.out = "web", &endpoint.Work{}, newPassage(httptest.NewRecorder(), writeError)
+				j.pool, j.work, j.reply = "web", &endpoint.Work{}, newPassthrough(httptest.NewRecorder(), writeError)
 				began := time.Now()
 				refusal := e.runService(t.Context(), j)
 				if took := time.Since(began); took > 100*time.Millisecond {
 					t.Errorf("it took %v", took)
 				}
 				if tc.code == 0 {
-					if refusal != nil || !strings.HasPrefix(s.order[len(s.order)-1], "call ") {
-						t.Errorf("refused with %v after %v", refusal, s.order)
+					if refusal != nil || !strings.HasPrefix(s.callOrder[len(s.callOrder)-1], "call ") {
+						t.Errorf("refused with %v after %v", refusal, s.callOrder)
 					}
 					return
 				}
@@ -84,10 +85,10 @@
 					t.Errorf("refused with %+v, want %s", refusal, tc.code)
 				}
 				next := e.newJob(v, v.RouteFor("h", "/x"), headers{team: defaultTeam})
-				next.pool, next.work, next.out = "web", &endpoint.Work{}, newPassage(httptest.NewRecorder(), writeError)
-				asked := len(s.order)
-				if again := e.runService(t.Context(), next); again == nil || again.Code != tc.code || len(s.order) != asked {
-					t.Errorf("the next call: %v after %v, want it refused with no ask", again, s.order[asked:])
+				next.pool, next.work, next.reply = "web", &endpoint.Work{}, newPassthrough(httptest.NewRecorder(), writeError)
+				asked := len(s.callOrder)
+				if again := e.runService(t.Context(), next); again == nil || again.Code != tc.code || len(s.callOrder) != asked {
+					t.Errorf("the next call: %v after %v, want it refused without a request for a permit", again, s.callOrder[asked:])
 				}
 			})
 		})
--- a/entry/lines_test.go
+++ b/entry/lines_test.go
@@ -16,23 +16,23 @@
 	"github.com/embercove/embercove/request"
 )
 
-// TestLines plays seconds of load and states which requests keep their lines: a
-// request is kept whole or left out, and those that fail are left out last.
+// TestLines simulates seconds of load and checks which requests keep their log lines: a
+// request is logged completely or not at all, and failed ones are dropped last.
 func TestLines(t *testing.T) {
 	cases := []struct {
 		name                        string
-		successes, failures, lines  int // a second; lines of each failure
+		successes, failures, lines  int // per second; lines of each failure
 		leastSuccesses, mostSucceed int // kept in ten seconds
 		leastFailures               int
 	}{
 		{"little load", 50, 10, 4, 500, 500, 100},
 		{"many successes", 2000, 0, 0, 2000, 2400, 0},
 		{"many successes and some failures", 2000, 20, 4, 1200, 2000, 200},
-		{"failures alone fill it", 2000, 100, 4, 100, 400, 500},
+		{"failures alone exceed the limit", 2000, 100, 4, 100, 400, 500},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			g := newLineGate()
+			g := newLineLimiter()
 			now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 			keptSuccesses, keptFailures, written, left := 0, 0, 0, 0
 			play := func(lines int, ordinary bool) bool {
@@ -74,8 +74,8 @@
 				t.Errorf("%d lines written, want at most %d", written, most)
 			}
 			all := 10 * (tc.successes + tc.failures*tc.lines)
-			if told := written + left + int(g.lost); told != all {
-				t.Errorf("%d lines written or told of as left out, want %d", told, all)
+			if told := written + left + int(g.droppedSince); told != all {
+				t.Errorf("%d lines written or reported as dropped, want %d", told, all)
 			}
 		})
 	}
@@ -87,13 +87,13 @@
 	return n*(k+1)/slices - n*k/slices
 }
 
-// TestRefusalLine checks what is logged of a call that was refused before it became
-// a job: whose it was, and by which revisions it was judged.
+// TestRefusalLine checks the log line of a call that was refused before it became a job:
+// its caller and the revisions in force.
 func TestRefusalLine(t *testing.T) {
 	s := &config.Settings{Host: "h", Domain: "a", Region: "r"}
 	s.SetDefaults()
 	b := blackboard.New(s)
-	if _, err := b.Config.Offer(3, []byte(likelyDocument)); err != nil {
+	if _, err := b.Config.Offer(3, []byte(engineDocument)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := b.Config.OfferRoster((&config.RosterList{Revision: 9}).Roster(), time.Now()); err != nil {
--- a/entry/parse.go
+++ b/entry/parse.go
@@ -18,7 +18,7 @@
 // Headers that callers may set.
 const (
 	HeaderKey        = "Idempotency-Key"
-	HeaderKeyAge     = "Embercove-Key-Age-Ms" // how long ago the key was first sent
+	HeaderKeyAge     = "Embercove-Key-Age-Ms" // time since the key was first sent
 	HeaderTeam       = "Embercove-Team"
 	HeaderPriority   = "Embercove-Priority"
 	HeaderDeadline   = "Embercove-Deadline-Ms"
@@ -26,8 +26,8 @@
 	HeaderLabels     = "Embercove-Labels" // key=value,key=value
 )
 
-// Body is what callers post to the completion paths. Fields that embercove
-// doesn't know are ignored, as the callers' libraries send many.
+// Body is the JSON body of the completion paths. Unknown fields are ignored, as callers'
+// libraries send many.
 type Body struct {
 	Model     string    `json:"model"`
 	Prompt    string    `json:"prompt"`
@@ -36,17 +36,16 @@
 	Stream    bool      `json:"stream"`
 }
 
-// Message is one turn of a chat.
+// Message is one message of a chat.
 type Message struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-// defaultMaxTokens is what a request without max_tokens asks for.
+// defaultMaxTokens applies to requests without max_tokens.
 const defaultMaxTokens = 256
 
-// ParseBody reads the body of a completion call. The error names the field
-// and the cause.
+// ParseBody parses the body of a completion call. The error names the field and the cause.
 func ParseBody(src []byte, chat bool) (*Body, error) {
 	b := new(Body)
 	if err := json.Unmarshal(src, b); err != nil {
@@ -87,8 +86,8 @@
 	return s.String()
 }
 
-// readBody reads a body within the limits of size and time. A caller that
-// sends slowly is cut off, so that it holds no memory for long.
+// readBody reads a body within the limits of size and time. A caller that sends too slowly
+// is cut off, so that it doesn't hold memory for long.
 func readBody(w http.ResponseWriter, q *http.Request, l config.Limits) ([]byte, *result.Error) {
 	rc := http.NewResponseController(w)
 	_ = rc.SetReadDeadline(time.Now().Add(config.Millis(l.BodyReadMillis)))
@@ -96,8 +95,8 @@
 	if err == nil {
 		_ = rc.SetReadDeadline(time.Time{})
 	} else {
-		// The deadline stays: net/http reads on for the rest of the body
-		// before it sends the refusal, and would wait for it.
+		// The deadline stays set: net/http reads the rest of the body before it sends the
+		// refusal, and would wait for it.
 		w.Header().Set("Connection", "close")
 	}
 	var tooLarge *http.MaxBytesError
@@ -105,15 +104,15 @@
 	case errors.As(err, &tooLarge):
 		return nil, result.Errorf(result.BodyTooLarge, "body: more than %d bytes", l.BodyBytes)
 	case err != nil:
-		return nil, result.Errorf(result.BodyTooSlow, "body: not whole within %d ms", l.BodyReadMillis).After(time.Second)
+		return nil, result.Errorf(result.BodyTooSlow, "body: not complete within %d ms", l.BodyReadMillis).After(time.Second)
 	}
 	return src, nil
 }
 
-// headers are the embercove headers of a call, checked.
+// headers are the parsed embercove headers of a call.
 type headers struct {
 	team       *config.Team
-	priority   int // -1: the route's
+	priority   int // -1: the route's priority
 	deadline   time.Duration
 	repeatable bool
 	key        string
@@ -181,8 +180,7 @@
 	return nil
 }
 
-// parseLabels adds the caller's own labels; a team's labels can't be
-// overridden by its callers.
+// parseLabels adds the caller's own labels. Callers can't override a team's labels.
 func parseLabels(s string, into map[string]string) *result.Error {
 	if s == "" {
 		return nil
@@ -203,5 +201,5 @@
 	return nil
 }
 
-// tokens returns the router's count of a prompt's tokens.
+// tokens returns the router's estimate of a prompt's tokens.
 func (b *Body) tokens() int { return endpoint.Tokens(len(b.Prompt)) }
--- a/entry/place_test.go
+++ b/entry/place_test.go
@@ -25,41 +25,41 @@
 	"github.com/embercove/embercove/route"
 )
 
-// stubOwners grants what it is told to and writes down what it was asked.
+// stubOwners answers as configured and records the calls.
 type stubOwners struct {
-	roomIn int           // ms after which decode memory is free
-	turns  []result.Code // of the turns that are asked for; then all are granted
-	rooms  []result.Code // of the room that is asked for; then all is granted
-	waits  time.Duration // until the first turn is refused
-	asked  []string
+	memoryIn     int           // ms until decode memory is free
+	enqueueCodes []result.Code // answers to the first requests for a slot; further ones are granted
+	reserveCodes []result.Code // answers to the first requests for memory; further ones are granted
+	firstDelay   time.Duration // until the first request for a slot is answered
+	calls        []string
 }
 
 func (s *stubOwners) note(format string, args ...any) {
-	s.asked = append(s.asked, fmt.Sprintf(format, args...))
+	s.calls = append(s.calls, fmt.Sprintf(format, args...))
 }
 
 func (s *stubOwners) Reserve(context.Context, *config.Endpoint, owner.ReserveArgs) (owner.ReserveReply, error) {
 	s.note("reserve")
 	code := result.OK
-	if len(s.rooms) > 0 {
-		code, s.rooms = s.rooms[0], s.rooms[1:]
+	if len(s.reserveCodes) > 0 {
+		code, s.reserveCodes = s.reserveCodes[0], s.reserveCodes[1:]
 	}
-	return owner.ReserveReply{Code: code, InMillis: s.roomIn}, nil
+	return owner.ReserveReply{Code: code, InMillis: s.memoryIn}, nil
 }
 
 func (s *stubOwners) Enqueue(_ context.Context, _ *config.Endpoint, a owner.EnqueueArgs) (owner.EnqueueReply, error) {
-	s.note("turn in %d", a.NotYet)
+	s.note("slot in %d", a.NotYet)
 	code := result.OK
-	if len(s.turns) > 0 {
-		code, s.turns = s.turns[0], s.turns[1:]
+	if len(s.enqueueCodes) > 0 {
+		code, s.enqueueCodes = s.enqueueCodes[0], s.enqueueCodes[1:]
 	}
-	time.Sleep(time.Duration(a.NotYet)*time.Millisecond + s.waits)
-	s.waits = 0
+	time.Sleep(time.Duration(a.NotYet)*time.Millisecond + s.firstDelay)
+	s.firstDelay = 0
 	return owner.EnqueueReply{Code: code, Retry: 5000}, nil
 }
 
 func (s *stubOwners) Release(spec *config.Endpoint, r owner.Release) {
-	s.note("%s given back", spec.Role)
+	s.note("%s released", spec.Role)
 }
 
 func (s *stubOwners) Kept(context.Context, []*config.Endpoint, uint32, int) (*config.Endpoint, int) {
@@ -91,9 +91,9 @@
 	return peer.Start{Given: true, Until: time.Now().Add(time.Second)}
 }
 
-// TestTurnLater checks that a request which has its turn at a prefill engine long
-// before there is room for its answer gives the turn back and takes a later one,
-// so that the engine's owner knows when the prompt comes.
+// TestTurnLater checks that a request which has its prefill slot long before there is
+// memory for its answer releases the slot and takes a later one, so that the engine's owner
+// knows when the prompt arrives.
 func TestTurnLater(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -102,23 +102,23 @@
 		want   string
 		placed bool
 	}{
-		{"room at once", 0, nil, "turn in 0, reserve", true},
-		{"room soon", 300, nil, "turn in 0, reserve", true},
-		{"room later", 900, nil, "turn in 0, reserve, prefill given back, turn in 900", true},
-		{"no turn later", 900, []result.Code{result.OK, result.TooLate},
-			"turn in 0, reserve, prefill given back, turn in 900, decode given back, prefill given back", false},
+		{"memory at once", 0, nil, "slot in 0, reserve", true},
+		{"memory soon", 300, nil, "slot in 0, reserve", true},
+		{"memory later", 900, nil, "slot in 0, reserve, prefill released, slot in 900", true},
+		{"no later slot", 900, []result.Code{result.OK, result.TooLate},
+			"slot in 0, reserve, prefill released, slot in 900, decode released, prefill released", false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				stub := &stubOwners{roomIn: tc.roomIn, turns: tc.turns}
-				e, j := placing(t, stub, 1, 1)
+				stub := &stubOwners{memoryIn: tc.roomIn, enqueueCodes: tc.turns}
+				e, j := newPlacement(t, stub, 1, 1)
 				_, err := e.place(context.Background(), j)
 				if placed := err == nil; placed != tc.placed {
 					t.Errorf("placed %v (%v), want %v", placed, err, tc.placed)
 				}
-				if got := strings.Join(stub.asked, ", "); got != tc.want {
-					t.Errorf("asked %q, want %q", got, tc.want)
+				if got := strings.Join(stub.calls, ", "); got != tc.want {
+					t.Errorf("calls %q, want %q", got, tc.want)
 				}
 			})
 		})
@@ -126,23 +126,23 @@
 }
 
 // promptedJob returns a job of a team for pool p: a prompt of 100 tokens for model m, and
-// an answer of 100 at the most.
+// an answer of at most 100.
 func promptedJob(e *Entry, v *config.View, team *config.Team) *job {
 	j := e.newJob(v, v.RouteFor("h", "/x"), headers{team: team, repeatable: true})
 	j.pool, j.prompted, j.tokens = "p", true, 100
 	j.work = &endpoint.Work{Completion: endpoint.Completion{MaxTokens: 100}}
-	j.pick.Model, j.pick.Tokens, j.pick.MaxAnswer = "m", 100, 100
+	j.criteria.Model, j.criteria.Tokens, j.criteria.MaxAnswer = "m", 100, 100
 	return j
 }
 
-// placing returns an entry before a pool of so many engines of each role, and a job
-// that is to be placed there.
-func placing(t *testing.T, stub *stubOwners, prefills, decodes int) (*Entry, *job) {
+// newPlacement returns an entry with a pool of the given numbers of engines, and a job to
+// place there.
+func newPlacement(t *testing.T, stub *stubOwners, prefills, decodes int) (*Entry, *job) {
 	t.Helper()
 	s := &config.Settings{Host: "h", Domain: "a", Region: "r"}
 	s.SetDefaults()
 	b := blackboard.New(s)
-	if _, err := b.Config.Offer(1, []byte(likelyDocument)); err != nil {
+	if _, err := b.Config.Offer(1, []byte(engineDocument)); err != nil {
 		t.Fatal(err)
 	}
 	roster := &config.RosterList{Revision: 1}
@@ -161,12 +161,12 @@
 	b.Endpoints.Fit(v)
 	e := New(b, endpoint.NewClient(nil), stub, report.NewRecorder(), zap.NewNop())
 	j := promptedJob(e, v, defaultTeam)
-	j.out = &passage{}
+	j.reply = &passthrough{}
 	return e, j
 }
 
-// TestAsks states how far a request is carried round a large pool in which the
-// engines that seem best are full, before it is refused.
+// TestAsks checks how many owners are asked in a large pool, in which the engines that seem
+// best are full, before a request is refused.
 func TestAsks(t *testing.T) {
 	full := func(n int, code result.Code) []result.Code {
 		return slices.Repeat([]result.Code{code}, n)
@@ -176,42 +176,42 @@
 		turns, rooms int // refused, before one is granted
 		placed       bool
 	}{
-		{"the first have no turn", 9, 0, true},
-		{"none has a turn", 15, 0, false},
-		{"the first have no room", 0, 6, true},
+		{"the first have no slot", 9, 0, true},
+		{"none has a slot", 15, 0, false},
+		{"the first have no memory", 0, 6, true},
 		{"neither", 9, 6, true},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				stub := &stubOwners{turns: full(tc.turns, result.TooLate), rooms: full(tc.rooms, result.NoDecodeMemory)}
-				e, j := placing(t, stub, 15, 49)
+				stub := &stubOwners{enqueueCodes: full(tc.turns, result.TooLate), reserveCodes: full(tc.rooms, result.NoDecodeMemory)}
+				e, j := newPlacement(t, stub, 15, 49)
 				_, err := e.place(context.Background(), j)
 				if placed := err == nil; placed != tc.placed {
-					t.Errorf("placed %v (%v), want %v; asked %v", placed, err, tc.placed, stub.asked)
+					t.Errorf("placed %v (%v), want %v; calls %v", placed, err, tc.placed, stub.calls)
 				}
 			})
 		})
 	}
 }
 
-// TestAsksInTime checks that nobody is asked for a turn that could only come too late.
+// TestAsksInTime checks that no owner is asked for a slot that can only be too late.
 func TestAsksInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		stub := &stubOwners{turns: slices.Repeat([]result.Code{result.TooLate}, 15)}
-		e, j := placing(t, stub, 15, 49)
-		stub.waits = j.target()
+		stub := &stubOwners{enqueueCodes: slices.Repeat([]result.Code{result.TooLate}, 15)}
+		e, j := newPlacement(t, stub, 15, 49)
+		stub.firstDelay = j.target()
 		began := time.Now()
 		if _, err := e.place(context.Background(), j); err == nil {
-			t.Error("placed without a turn")
+			t.Error("placed without a slot")
 		}
-		if len(stub.asked) != 1 || time.Since(began) > j.target() {
-			t.Errorf("refused after %s, asked %v: want one ask, and a refusal right after it", time.Since(began), stub.asked)
+		if len(stub.calls) != 1 || time.Since(began) > j.target() {
+			t.Errorf("refused after %s, calls %v: want one request for a slot, and a refusal right after it", time.Since(began), stub.calls)
 		}
 	})
 }
 
-// statesOf returns a fleet's states by the names of their endpoints.
+// statesOf returns a fleet's states ordered by endpoint name.
 func statesOf(fleet *route.Fleet) []*route.State {
 	return slices.SortedFunc(fleet.All(), func(a, b *route.State) int { return strings.Compare(a.Spec.Name, b.Spec.Name) })
 }
--- a/entry/read.go
+++ b/entry/read.go
@@ -17,68 +17,68 @@
 	"github.com/embercove/embercove/route"
 )
 
-// read has the prompt read. Where reading counts as a run it marks the job as
+// prefill has the prompt prefilled. Where a prefill counts as a run it marks the job as
 // run, unless the endpoint vouches that it did nothing.
-func (e *Entry) read(ctx context.Context, j *job, p *plan) (*endpoint.Transfer, error) {
-	j.phase(1)
+func (e *Entry) prefill(ctx context.Context, j *job, p *plan) (*endpoint.Transfer, error) {
+	j.markPhase(1)
 	e.board.Invariant.Check(j.repeatable || !j.started, invariant.SingleRun, "request %s would start twice", j.id)
-	e.board.Invariant.Check(!p.pre.Leaving, invariant.LeavingNoWork, "request %s to leaving %s", j.id, p.pre.Name)
-	if p.readBy.Number == 0 {
-		p.readBy = e.board.Requests.Open(j.id)
+	e.board.Invariant.Check(!p.prefillSpec.Leaving, invariant.LeavingNoWork, "request %s to leaving %s", j.id, p.prefillSpec.Name)
+	if p.prefillAttempt.Number == 0 {
+		p.prefillAttempt = e.board.Requests.Open(j.id)
 	}
-	elsewhere, refusal := e.mayRunAt(ctx, j, p.pre, quarantine.Reading)
+	elsewhere, refusal := e.acquireProbeAt(ctx, j, p.prefillSpec, quarantine.Reading)
 	if elsewhere || refusal != nil {
-		e.returnTurn(p)
-		e.board.Requests.Close(p.readBy)
-		return nil, orBarred(refusal, p.pre)
+		e.releasePrefill(p)
+		e.board.Requests.Close(p.prefillAttempt)
+		return nil, refusalOrBarred(refusal, p.prefillSpec)
 	}
-	if r := e.start(ctx, j, p.pre); r != nil {
-		e.returnTurn(p)
-		e.board.Requests.Close(p.readBy)
+	if r := e.acquirePermit(ctx, j, p.prefillSpec); r != nil {
+		e.releasePrefill(p)
+		e.board.Requests.Close(p.prefillAttempt)
 		return nil, r
 	}
 	e.setPhase(j, blackboard.PhasePrefill, func(r *blackboard.Request) {
-		r.Prefill = p.pre.Name
-		r.Open = append(r.Open, p.readBy.Number)
+		r.Prefill = p.prefillSpec.Name
+		r.Open = append(r.Open, p.prefillAttempt.Number)
 	})
-	j.prefill = p.pre.Name
-	undo := j.mayRun(e.traits.ReadingRuns)
-	limited, cancel := context.WithTimeout(ctx, e.patience(p))
+	j.prefillName = p.prefillSpec.Name
+	undo := j.markRun(e.traits.ReadingRuns)
+	limited, cancel := context.WithTimeout(ctx, e.prefillTimeout(p))
 	defer cancel()
-	j.reads++
+	j.prefillCalls++
 	began := time.Now()
-	number := route.Number(p.pre.Name)
+	number := route.Number(p.prefillSpec.Name)
 	e.owners.Touched(number, 1)
-	r := e.beginRun(j, p.pre, quarantine.Reading)
-	ans, err := e.engine.Prefill(limited, e.call(j, p.pre, p.readBy), j.work)
+	r := e.beginRun(j, p.prefillSpec, quarantine.Reading)
+	ans, err := e.engine.Prefill(limited, e.newCall(j, p.prefillSpec, p.prefillAttempt), j.work)
 	e.owners.Touched(number, -1)
-	e.note(ctx, j, p.pre, blackboard.PhasePrefill, err, time.Since(began))
+	e.recordCall(ctx, j, p.prefillSpec, blackboard.PhasePrefill, err, time.Since(began))
 	e.endRun(ctx, j, r, 0, err)
-	rel := owner.Release{Attempt: p.readBy, Endpoint: number, Millis: ms(time.Since(began))}
+	rel := owner.Release{Attempt: p.prefillAttempt, Endpoint: number, Millis: ms(time.Since(began))}
 	if err == nil {
 		// The attempt stays open: its result is kept until the answer begins or it is
-		// dropped, and what isn't open is cancelled by the engine's owner as orphaned.
+		// dropped, and the engine's owner cancels attempts that aren't open as orphans.
 		rel.Cached = ans.Usage.CachedTokens
-		if e.worthTelling(p, rel) {
-			e.owners.Release(p.pre, rel)
+		if e.shouldReport(p, rel) {
+			e.owners.Release(p.prefillSpec, rel)
 		}
-		j.read += ans.Usage.PromptTokens - ans.Usage.CachedTokens
-		p.cost = ans.Usage.PromptTokens - ans.Usage.CachedTokens
-		e.budgets.Earn(j.team.Name, p.pre.Name, j.view.Doc.Limits.RetryShare)
+		j.prefilledTotal += ans.Usage.PromptTokens - ans.Usage.CachedTokens
+		p.prefilledTokens = ans.Usage.PromptTokens - ans.Usage.CachedTokens
+		e.retryBudgets.Earn(j.team.Name, p.prefillSpec.Name, j.view.Doc.Limits.RetryShare)
 		return ans.Transfer, nil
 	}
-	e.board.Requests.Close(p.readBy)
+	e.board.Requests.Close(p.prefillAttempt)
 	rel.Outcome = outcomeOf(ctx, err)
-	e.owners.Release(p.pre, rel)
+	e.owners.Release(p.prefillSpec, rel)
 	if endpoint.Unreachable(err) {
-		j.reads--
+		j.prefillCalls--
 	}
 	if !endpoint.MayHaveRun(err) {
 		undo()
 	} else {
-		e.abort(p.pre, p.readBy)
+		e.abort(p.prefillSpec, p.prefillAttempt)
 	}
-	failed := e.failed(p.pre, err)
+	failed := e.callFailure(p.prefillSpec, err)
 	failed.mayHaveRun = failed.mayHaveRun && e.traits.ReadingRuns
 	if !failed.mayHaveRun {
 		failed.refusal.Code = result.EndpointRefused
@@ -86,32 +86,32 @@
 	return nil, failed
 }
 
-// mayRun notes that a call goes out which may run the request, if it does. It
-// returns what takes the note back when the endpoint vouches that it didn't.
-func (j *job) mayRun(does bool) (undo func()) {
-	if !does {
+// markRun records that a call is made which may run the request, if runs is set. The
+// returned function undoes this when the endpoint vouches that the call didn't run.
+func (j *job) markRun(runs bool) (undo func()) {
+	if !runs {
 		return func() {}
 	}
-	ran, started := j.ran, j.started
-	j.ran, j.started = true, true
+	ran, started := j.possiblyRan, j.started
+	j.possiblyRan, j.started = true, true
 	j.attempts++
 	return func() {
-		j.ran, j.started = ran, started
+		j.possiblyRan, j.started = ran, started
 		j.attempts--
 	}
 }
 
-// patience returns how long a prefill engine may take. Where reading is no
-// run, another may be asked soon.
-func (e *Entry) patience(p *plan) time.Duration {
+// prefillTimeout returns how long a prefill may take. Where a prefill isn't a run, another
+// engine may be asked soon.
+func (e *Entry) prefillTimeout(p *plan) time.Duration {
 	if e.traits.ReadingRuns {
-		return prefillPatience + patienceFactor*p.Read
+		return prefillTimeoutBase + prefillTimeoutFactor*p.Read
 	}
-	return rereadPatience + patienceFactor*(p.Read+p.Wait)
+	return repeatableTimeoutBase + prefillTimeoutFactor*(p.Read+p.Wait)
 }
 
-// note takes what a call showed of an endpoint into the table.
-func (e *Entry) note(ctx context.Context, j *job, spec *config.Endpoint, ph blackboard.Phase, err error, took time.Duration) {
+// recordCall updates the endpoint table with the outcome of a call.
+func (e *Entry) recordCall(ctx context.Context, j *job, spec *config.Endpoint, ph blackboard.Phase, err error, took time.Duration) {
 	if err != nil {
 		e.logCall(j, spec, string(ph), err, took)
 	}
@@ -139,33 +139,32 @@
 	}
 }
 
-// tellEvery is how many ordinary ends of a prefill there are for each that is
-// told of.
-const tellEvery = 4
+// reportEvery is the number of ordinary prefill ends per reported one.
+const reportEvery = 4
 
-// worthTelling reports whether a prefill's end is told to its owner. The owner
-// knows when to expect it; it is told of the surprising ends, and of some
-// others to learn the engine's pace and cache from.
-func (e *Entry) worthTelling(p *plan, rel owner.Release) bool {
+// shouldReport reports whether the end of a prefill is sent to the engine's owner. The
+// owner forecasts the end; it needs the unexpected ones, and a sample of the others to
+// learn the engine's speed and cache hits from.
+func (e *Entry) shouldReport(p *plan, rel owner.Release) bool {
 	took := time.Duration(rel.Millis) * time.Millisecond
 	off := (took - p.Read).Abs()
-	return off > ordinaryOff+p.Read/4 || e.turn.Load()%tellEvery == 0
+	return off > ordinaryDeviation+p.Read/4 || e.sequence.Load()%reportEvery == 0
 }
 
-// ordinaryOff is how far from its forecast an ordinary prefill ends: the
-// owner calls some way ahead of the engine.
-const ordinaryOff = 80 * time.Millisecond
+// ordinaryDeviation is how far from its forecast an ordinary prefill may end: the owner
+// grants slots somewhat ahead of the engine.
+const ordinaryDeviation = 80 * time.Millisecond
 
-// Patience with a prefill engine: beyond it the engine counts as stuck.
+// Prefill timeouts: after this time the engine counts as stuck.
 const (
-	prefillPatience = 3 * time.Second
-	rereadPatience  = 250 * time.Millisecond
-	patienceFactor  = 4
+	prefillTimeoutBase    = 3 * time.Second
+	repeatableTimeoutBase = 250 * time.Millisecond
+	prefillTimeoutFactor  = 4
 )
 
-func (e *Entry) call(j *job, spec *config.Endpoint, a request.Attempt) endpoint.Call {
+func (e *Entry) newCall(j *job, spec *config.Endpoint, a request.Attempt) endpoint.Call {
 	call := endpoint.Call{Address: spec.Address, Attempt: a.String(), Name: spec.Name, Version: j.view.WantVersion(spec), Repeatable: j.repeatable,
-		KeepMillis: spec.ResultKeepMillis, Hear: e.hearer(spec)}
+		KeepMillis: spec.ResultKeepMillis, Hear: e.noticeHandler(spec)}
 	if j.team != defaultTeam {
 		call.Team = j.team.Name
 	}
@@ -184,9 +183,9 @@
 	return owner.Rejected
 }
 
-// failed makes a retryable of a call that failed at an endpoint.
-func (e *Entry) failed(spec *config.Endpoint, err error) *retryable {
-	r := &retryable{name: spec.Name, mayHaveRun: endpoint.MayHaveRun(err)}
+// callFailure makes a retryable of a call that failed at an endpoint.
+func (e *Entry) callFailure(spec *config.Endpoint, err error) *retryable {
+	r := &retryable{endpointName: spec.Name, mayHaveRun: endpoint.MayHaveRun(err)}
 	if r.mayHaveRun {
 		r.refusal = result.Errorf(result.AnswerBroken, "%s broke off the request", spec.Name).After(time.Second)
 		return r
@@ -195,8 +194,8 @@
 	return r
 }
 
-// abort gives an attempt up at an endpoint that may hold memory for it. It
-// doesn't wait; if it is lost, the endpoint's owner finds the attempt.
+// abort cancels an attempt at an endpoint that may hold memory for it. It doesn't wait; if
+// the call is lost, the endpoint's owner finds the attempt.
 func (e *Entry) abort(spec *config.Endpoint, a request.Attempt) {
 	if e.traits.HangUpAborts {
 		return
@@ -210,21 +209,21 @@
 
 const abortTimeout = time.Second
 
-// discard gives up a result that was read for nothing.
-func (e *Entry) discard(j *job, p *plan, kv *endpoint.Transfer) {
-	e.drop(j, p, kv)
+// discardResult drops an unused prefill result and releases the decode reservation.
+func (e *Entry) discardResult(j *job, p *plan, kv *endpoint.Transfer) {
+	e.dropResult(j, p, kv)
 	e.releaseDecode(j, p, owner.GivenUp)
 }
 
-// drop has the prefill engine free a result. It doesn't wait; a result whose
-// drop is lost lapses.
-func (e *Entry) drop(j *job, p *plan, kv *endpoint.Transfer) {
-	if p.pre == nil {
+// dropResult makes the prefill engine free a result. It doesn't wait; if the call is lost,
+// the result expires.
+func (e *Entry) dropResult(j *job, p *plan, kv *endpoint.Transfer) {
+	if p.prefillSpec == nil {
 		return
 	}
-	j.waste += p.cost
-	e.board.Requests.Close(p.readBy)
-	e.abort(p.pre, p.readBy)
+	j.wastedTokens += p.prefilledTokens
+	e.board.Requests.Close(p.prefillAttempt)
+	e.abort(p.prefillSpec, p.prefillAttempt)
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), abortTimeout)
 		defer cancel()
--- a/entry/relay.go
+++ b/entry/relay.go
@@ -16,131 +16,131 @@
 	"github.com/embercove/embercove/route"
 )
 
-// tokenStall is how long an engine may write nothing before it counts as
-// stuck.
+// tokenStall is how long an engine may write nothing before it counts as stuck.
 const tokenStall = 2 * time.Second
 
-// decodeOnce makes one call to a decode engine and relays what it writes.
+// decodeOnce makes one call to a decode engine and relays its output.
 func (e *Entry) decodeOnce(ctx context.Context, j *job, p *plan, kv *endpoint.Transfer) (err error) {
-	e.board.Invariant.Check(!p.dec.Leaving, invariant.LeavingNoWork, "request %s to leaving %s", j.id, p.dec.Name)
-	e.setPhase(j, blackboard.PhaseTransfer, func(r *blackboard.Request) { r.Decode = p.dec.Name })
-	j.decode = p.dec.Name
-	undo := j.mayRun(true)
-	j.sends++
+	e.board.Invariant.Check(!p.decodeSpec.Leaving, invariant.LeavingNoWork, "request %s to leaving %s", j.id, p.decodeSpec.Name)
+	e.setPhase(j, blackboard.PhaseTransfer, func(r *blackboard.Request) { r.Decode = p.decodeSpec.Name })
+	j.decodeName = p.decodeSpec.Name
+	undo := j.markRun(true)
+	j.decodeCalls++
 	limited, cancel := context.WithCancel(ctx)
 	defer cancel()
-	at := processOf(p.dec) // a watch that was stopped may still ask
-	w := newWatchdog(e.firstStall(j, p), e.mostSilent(j), cancel, func() bool { return e.lives(limited, at) })
+	at := processOf(p.decodeSpec) // a stopped watchdog may still run its liveness check
+	w := newWatchdog(e.firstStallLimit(j, p), e.maxSilence(j), cancel, func() bool { return e.isAlive(limited, at) })
 	defer w.stop()
-	number := route.Number(p.dec.Name)
+	number := route.Number(p.decodeSpec.Name)
 	e.owners.Touched(number, 1)
 	defer e.owners.Touched(number, -1)
-	before, began := j.out.pieces(), time.Now()
-	r := e.beginRun(j, p.dec, quarantine.Running)
+	before, began := j.reply.chunks(), time.Now()
+	r := e.beginRun(j, p.decodeSpec, quarantine.Running)
 	defer func() {
 		if err != nil && w.fired.Load() && ctx.Err() == nil {
-			err = &endpoint.CallError{Address: p.dec.Address, MayHaveRun: true, Cause: &stallError{blackboard.PhaseTransfer}}
+			err = &endpoint.CallError{Address: p.decodeSpec.Address, MayHaveRun: true, Cause: &stallError{blackboard.PhaseTransfer}}
 		}
-		e.note(ctx, j, p.dec, blackboard.PhaseDecode, err, time.Since(began))
-		e.endRun(ctx, j, r, j.out.pieces()-before, err)
-		e.decoded(ctx, j, p, err, j.out.pieces()-before, w.since())
+		e.recordCall(ctx, j, p.decodeSpec, blackboard.PhaseDecode, err, time.Since(began))
+		e.endRun(ctx, j, r, j.reply.chunks()-before, err)
+		e.reportDecode(ctx, j, p, err, j.reply.chunks()-before, w.answeringTime())
 		if err == nil {
 			return
 		}
 		if endpoint.Unreachable(err) {
-			j.sends--
+			j.decodeCalls--
 		}
 		if !endpoint.MayHaveRun(err) {
 			undo()
 			return
 		}
-		e.abort(p.dec, p.decodeBy)
-		e.board.Requests.Close(p.decodeBy)
+		e.abort(p.decodeSpec, p.decodeAttempt)
+		e.board.Requests.Close(p.decodeAttempt)
 	}()
 	work := *j.work
-	work.ResumeFrom, work.Transfer = j.out.pieces(), kv
-	if p.copy != nil {
-		work.Backup = p.copy.spec.Address
+	work.ResumeFrom, work.Transfer = j.reply.chunks(), kv
+	if p.replica != nil {
+		work.Backup = p.replica.spec.Address
 	}
-	if m := j.out.lastMark(); m != "" {
+	if m := j.reply.lastEventID(); m != "" {
 		work.LastMark = m
 	}
-	s, err := e.engine.Decode(limited, e.call(j, p.dec, p.decodeBy), &work)
+	s, err := e.engine.Decode(limited, e.newCall(j, p.decodeSpec, p.decodeAttempt), &work)
 	if err != nil {
-		j.keep(err)
+		j.keepFailure(err)
 		return err
 	}
 	defer s.Close()
 	return e.relay(j, p, s, w)
 }
 
-// keep remembers a failure that the endpoint answered with, which the caller
-// gets unless another try does better.
-func (j *job) keep(err error) {
+// keepFailure keeps a failure that the endpoint answered with. The caller receives it
+// unless another try does better.
+func (j *job) keepFailure(err error) {
 	var ce *endpoint.CallError
 	if !errors.As(err, &ce) || ce.Answer == nil {
 		return
 	}
-	j.forget()
-	j.last = ce.Answer
+	j.dropLastFailure()
+	j.lastFailure = ce.Answer
 }
 
-// decoded tells the owner how a decode call ended, if it wrote anything or is
-// over. pieces were written in took, from the first to the last.
-func (e *Entry) decoded(ctx context.Context, j *job, p *plan, err error, pieces int, took time.Duration) {
+// reportDecode reports to the owner how a decode call ended, if it wrote anything or
+// succeeded. pieces were written in took, from the first to the last.
+func (e *Entry) reportDecode(ctx context.Context, j *job, p *plan, err error, pieces int, took time.Duration) {
 	if err != nil && pieces == 0 {
 		return
 	}
 	if err == nil {
-		e.back.Learn(j.pool, took)
+		e.retryTimes.Learn(j.pool, took)
 	}
-	e.owners.Release(p.dec, owner.Release{Attempt: p.decodeBy, Endpoint: route.Number(p.dec.Name), Outcome: outcomeOf(ctx, err),
-		Waited: p.waited, Answer: pieces * p.dec.PieceTokens(), Max: j.work.MaxTokens, Expected: j.expected, Millis: ms(took)})
+	e.owners.Release(p.decodeSpec, owner.Release{Attempt: p.decodeAttempt, Endpoint: route.Number(p.decodeSpec.Name), Outcome: outcomeOf(ctx, err),
+		Waited: p.decodeWasFull, Answer: pieces * p.decodeSpec.PieceTokens(), Max: j.work.MaxTokens, Expected: j.expected, Millis: ms(took)})
 }
 
-// firstStall returns how long an engine may write nothing at first. A request that
-// can't be sent again has nothing to gain by giving up, nor has one with a copy: it holds
-// nothing to go on from before the first piece (copies.FirstPart).
-func (e *Entry) firstStall(j *job, p *plan) time.Duration {
+// firstStallLimit returns how long an engine may take to write its first chunk. Timing out
+// gains nothing for a request that can't be sent again, not even with a replica: before the
+// first chunk there is nothing to resume from (copies.FirstPart).
+func (e *Entry) firstStallLimit(j *job, p *plan) time.Duration {
 	if !e.traits.ReadingRuns && !j.repeatable {
 		return forever
 	}
 	return time.Duration(e.board.Settings.StallMillis)*time.Millisecond + p.Move
 }
 
-// laterStall returns how long it may write nothing once it has begun. Where the answer
-// can go on elsewhere, an engine that is silent for longer than it should be is asked
-// whether it lives.
-func (e *Entry) laterStall(j *job, p *plan) time.Duration {
-	if p.copy == nil && !j.repeatable && !e.traits.ReadingRuns {
+// laterStallLimit returns how long an engine may write nothing once it has begun. Where the
+// answer can resume elsewhere, an engine that is silent for longer than expected is asked
+// whether it is alive.
+func (e *Entry) laterStallLimit(j *job, p *plan) time.Duration {
+	if p.replica == nil && !j.repeatable && !e.traits.ReadingRuns {
 		return forever
 	}
 	if !e.traits.HangUpAborts {
 		return tokenStall
 	}
-	return copies.Quiet(time.Duration(p.dec.PieceTokens()) * e.usualStep(j))
+	return copies.Quiet(time.Duration(p.decodeSpec.PieceTokens()) * e.typicalStep(j))
 }
 
-// mostSilent returns how long an engine that lives may be silent. One whose answer may
-// not be read again is waited for to the end: it may go on, and must not do so twice.
-func (e *Entry) mostSilent(j *job) time.Duration {
+// maxSilence returns how long an engine that is alive may be silent. If the answer may not
+// be generated again it is waited for until the end: the engine may continue, and the
+// request must not run twice.
+func (e *Entry) maxSilence(j *job) time.Duration {
 	if j.repeatable {
 		return tokenStall
 	}
 	return forever
 }
 
-// relay passes the stream on: each piece once, in order, and a clean end only
-// after a whole answer.
+// relay forwards the stream: each chunk once, in order, and a clean end only after a
+// complete answer.
 func (e *Entry) relay(j *job, p *plan, s endpoint.Stream, w *watchdog) error {
 	for {
 		c, err := s.Next()
 		if errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
-			j.out.open(s.Head())
-			if j.out.complete() {
+			j.reply.sendHead(s.Head())
+			if j.reply.complete() {
 				return nil
 			}
-			return broken(p, "the answer ended early")
+			return brokenAnswer(p, "the answer ended early")
 		}
 		if err != nil {
 			return err
@@ -149,34 +149,34 @@
 			w.progress()
 			continue
 		}
-		if c.Raw == nil && len(c.Choices) == 0 || c.Offset < j.out.pieces() {
+		if c.Raw == nil && len(c.Choices) == 0 || c.Offset < j.reply.chunks() {
 			continue
 		}
-		if c.Offset > j.out.pieces() {
-			return broken(p, "pieces are missing")
+		if c.Offset > j.reply.chunks() {
+			return brokenAnswer(p, "pieces are missing")
 		}
-		if j.out.pieces() == 0 {
-			j.phase(3)
+		if j.reply.chunks() == 0 {
+			j.markPhase(3)
 		}
-		if !w.begun {
-			w.begin(e.laterStall(j, p))
-			w.asks.Store(e.traits.HangUpAborts)
+		if !w.answering {
+			w.answerBegun(e.laterStallLimit(j, p))
+			w.checksLiveness.Store(e.traits.HangUpAborts)
 			e.setPhase(j, blackboard.PhaseDecode, nil)
 		}
 		w.progress()
-		if w.since() >= quarantine.Settled {
-			e.settle(j)
+		if w.answeringTime() >= quarantine.Settled {
+			e.settleProbe(j)
 		}
 		inv := e.board.Invariant
-		inv.Check(c.Offset == j.out.pieces(), invariant.TokenOnce, "request %s: piece %d after %d", j.id, c.Offset, j.out.pieces())
-		inv.Check(c.ID == p.decodeBy.String(), invariant.OwnAnswer, "request %s: chunk of %s in attempt %s", j.id, c.ID, p.decodeBy)
-		j.out.open(s.Head())
-		if err := j.out.piece(c); err != nil {
-			return &endpoint.CallError{Address: p.dec.Address, MayHaveRun: true, GivenUp: true, Cause: err}
+		inv.Check(c.Offset == j.reply.chunks(), invariant.TokenOnce, "request %s: piece %d after %d", j.id, c.Offset, j.reply.chunks())
+		inv.Check(c.ID == p.decodeAttempt.String(), invariant.OwnAnswer, "request %s: chunk of %s in attempt %s", j.id, c.ID, p.decodeAttempt)
+		j.reply.sendHead(s.Head())
+		if err := j.reply.sendChunk(c); err != nil {
+			return &endpoint.CallError{Address: p.decodeSpec.Address, MayHaveRun: true, GivenUp: true, Cause: err}
 		}
 	}
 }
 
-func broken(p *plan, cause string) error {
-	return &endpoint.CallError{Address: p.dec.Address, MayHaveRun: true, GivenUp: true, Cause: errors.New(cause)}
+func brokenAnswer(p *plan, cause string) error {
+	return &endpoint.CallError{Address: p.decodeSpec.Address, MayHaveRun: true, GivenUp: true, Cause: errors.New(cause)}
 }
--- a/entry/reserve.go
+++ b/entry/reserve.go
@@ -11,13 +11,13 @@
 	"github.com/embercove/embercove/route"
 )
 
-// reserveAny reserves decode memory on the best engine that grants it, for
-// the end of the prefill.
+// reserveAny reserves decode memory for the end of the prefill, on the best engine that
+// grants it.
 func (e *Entry) reserveAny(ctx context.Context, j *job, p *plan) *result.Error {
-	fixed := route.Number(p.pre.Name)
+	fixed := route.Number(p.prefillSpec.Name)
 	choose := func(j *job) (route.Choice, *config.View) {
-		c, v := e.choose(j, fixed)
-		if c.Decode == nil { // the prefill engine may have left since it called
+		c, v := e.choosePair(j, fixed)
+		if c.Decode == nil { // the prefill engine may have left since it granted the slot
 			return e.chooseDecode(j)
 		}
 		return c, v
@@ -25,68 +25,68 @@
 	return e.reserveFrom(ctx, j, p, choose, p.Read)
 }
 
-// reserveFrom reserves decode memory on the first engine that grants it, of
-// those that choose names one after the other. The refusal it returns has the
-// soonest time at which one would.
+// reserveFrom reserves decode memory on the first engine that grants it, among those that
+// choose returns one after the other. The refusal it returns has the earliest time at which
+// one would.
 func (e *Entry) reserveFrom(ctx context.Context, j *job, p *plan, choose func(*job) (route.Choice, *config.View), in time.Duration) *result.Error {
 	e.setPhase(j, blackboard.PhaseReserve, nil)
 	var last *result.Error
-	for asks := 0; asks < decodeAsks; {
+	for asks := 0; asks < maxReserveAsks; {
 		c, v := choose(j)
 		if c.Decode == nil {
 			break
 		}
-		p.dec, p.Move = c.Decode, c.Move
+		p.decodeSpec, p.Move = c.Decode, c.Move
 		refusal := e.reserve(ctx, j, p, in)
 		if refusal == nil || ctx.Err() != nil {
 			return refusal
 		}
-		e.logRefused(j, p.dec, string(blackboard.PhaseReserve), refusal, c.Age)
-		if lack := lackOf(refusal, last); last == nil || lack.RetryAfter < last.RetryAfter {
+		e.logRefused(j, p.decodeSpec, string(blackboard.PhaseReserve), refusal, c.Age)
+		if lack := placementRefusal(refusal, last); last == nil || lack.RetryAfter < last.RetryAfter {
 			last = lack
 		}
-		j.pick.Drop(route.Number(p.dec.Name))
+		j.criteria.Drop(route.Number(p.decodeSpec.Name))
 		if refusal.Code == result.Evacuated {
-			asks += j.heardEmptied(v, p.dec)
+			asks += j.noteEvacuated(v, p.decodeSpec)
 		} else {
 			asks++
 		}
 	}
 	if last == nil {
-		last = e.nowhere(j, "decode endpoint", decodeList)
+		last = e.noneOpen(j, "decode endpoint", decodeStates)
 	}
 	return last
 }
 
-// reserve asks for decode memory at the time the prefill will end.
+// reserve asks the decode engine's owner for memory at the end of the prefill.
 func (e *Entry) reserve(ctx context.Context, j *job, p *plan, in time.Duration) *result.Error {
-	a := owner.ReserveArgs{Attempt: e.board.Requests.Open(j.id), Endpoint: route.Number(p.dec.Name), Tokens: j.tokens,
-		MaxAnswer: j.work.MaxTokens, Expected: j.expected, Mark: j.mark, Bytes: int64(j.tokens) * kvBytes(j.view, j.work.Model),
-		InMillis: ms(in), Slack: max(0, ms(j.slack()-in-p.Move-j.away.detour)), Team: j.teamNum, Priority: j.priority, Abroad: j.abroad()}
-	p.decodeBy, p.reserved = a.Attempt, false
+	a := owner.ReserveArgs{Attempt: e.board.Requests.Open(j.id), Endpoint: route.Number(p.decodeSpec.Name), Tokens: j.tokens,
+		MaxAnswer: j.work.MaxTokens, Expected: j.expected, Mark: j.engineID, Bytes: int64(j.tokens) * kvBytesPerToken(j.view, j.work.Model),
+		InMillis: ms(in), Slack: max(0, ms(j.slack()-in-p.Move-j.redirect.detour)), Team: j.teamNumber, Priority: j.priority, Abroad: j.redirected()}
+	p.decodeAttempt, p.reserved = a.Attempt, false
 	now := time.Now()
-	reply, err := e.owners.Reserve(ctx, p.dec, a)
+	reply, err := e.owners.Reserve(ctx, p.decodeSpec, a)
 	switch {
 	case err != nil && ctx.Err() != nil:
 		e.releaseDecode(j, p, owner.GivenUp)
 		return asResult(ctx.Err())
-	case err != nil: // the owner is out of reach: the engine's admission decides
-		p.start = now.Add(in)
+	case err != nil: // the owner is unreachable: the engine's own admission decides
+		p.transferStart = now.Add(in)
 		return nil
 	case reply.Code != result.OK:
 		e.board.Requests.Close(a.Attempt)
-		return result.Errorf(reply.Code, "no decode memory on %s in time", p.dec.Name).After(time.Duration(reply.Retry) * time.Millisecond)
+		return result.Errorf(reply.Code, "no decode memory on %s in time", p.decodeSpec.Name).After(time.Duration(reply.Retry) * time.Millisecond)
 	}
-	p.reserved, p.start = true, now.Add(time.Duration(reply.InMillis)*time.Millisecond)
-	if refusal := e.startAhead(ctx, j, p, in); refusal != nil {
+	p.reserved, p.transferStart = true, now.Add(time.Duration(reply.InMillis)*time.Millisecond)
+	if refusal := e.acquireDecodePermit(ctx, j, p, in); refusal != nil {
 		e.releaseDecode(j, p, owner.GivenUp)
 		return refusal
 	}
 	return nil
 }
 
-// releaseDecode gives the decode reservation back.
+// releaseDecode releases the decode reservation.
 func (e *Entry) releaseDecode(j *job, p *plan, o owner.Outcome) {
-	e.owners.Release(p.dec, owner.Release{Attempt: p.decodeBy, Endpoint: route.Number(p.dec.Name), Outcome: o})
-	e.board.Requests.Close(p.decodeBy)
+	e.owners.Release(p.decodeSpec, owner.Release{Attempt: p.decodeAttempt, Endpoint: route.Number(p.decodeSpec.Name), Outcome: o})
+	e.board.Requests.Close(p.decodeAttempt)
 }
--- a/entry/resting_test.go
+++ b/entry/resting_test.go
@@ -15,18 +15,19 @@
 	"github.com/embercove/embercove/route"
 )
 
-// TestRestBack has the endpoints of a service rest, some of them for longer, or leave. A call is
-// refused at once with the time of the first that takes requests again, and costs no try.
+// TestRestBack has the endpoints of a service ask for backoffs, some longer than others, or
+// leave. A call must be refused at once with the time at which the first one accepts
+// requests again, and without using up a try.
 func TestRestBack(t *testing.T) {
 	const leaves = -1
 	for _, tc := range []struct {
 		name  string
-		rests []time.Duration // leaves: it leaves
+		rests []time.Duration // leaves: the endpoint leaves
 		code  result.Code
 		back  time.Duration
 	}{
-		{"all rest", []time.Duration{5 * time.Second, 3 * time.Second, 4 * time.Second}, result.Resting, 3 * time.Second},
-		{"one rests, most leave", []time.Duration{leaves, 2 * time.Second, leaves}, result.Resting, 2 * time.Second},
+		{"all back off", []time.Duration{5 * time.Second, 3 * time.Second, 4 * time.Second}, result.Resting, 3 * time.Second},
+		{"one backs off, most leave", []time.Duration{leaves, 2 * time.Second, leaves}, result.Resting, 2 * time.Second},
 		{"all leave", []time.Duration{leaves, leaves}, result.NoEndpoint, time.Second},
 		{"one is free", []time.Duration{leaves, 3 * time.Second, 0}, result.OK, 0},
 	} {
@@ -37,24 +38,24 @@
 				for i, rest := range tc.rests {
 					b.Endpoints.Notice(route.Number(fmt.Sprint("s", i)), route.Notice{Leaving: rest == leaves, Rest: max(0, rest), Heard: time.Now()})
 				}
-				s := &startScene{leavingScene: &leavingScene{t: t, board: b}}
-				e := New(b, serviceCalls{s}, s, report.NewRecorder(), zap.NewNop())
+				s := &coldScene{leavingScene: &leavingScene{t: t, board: b}}
+				e := New(b, serviceEngine{s}, s, report.NewRecorder(), zap.NewNop())
 				j := e.newJob(v, v.RouteFor("h", "/x"), headers{team: defaultTeam})
-				j.pool, j.work, j.out = "web", &endpoint.Work{}, newPassage(httptest.NewRecorder(), writeError)
+				j.pool, j.work, j.reply = "web", &endpoint.Work{}, newPassthrough(httptest.NewRecorder(), writeError)
 				began := time.Now()
 				refusal := e.runService(t.Context(), j)
 				if took := time.Since(began); took > 0 {
 					t.Errorf("it took %v", took)
 				}
 				if tc.code == result.OK {
-					if refusal != nil || s.order[len(s.order)-1] != "call s2" {
-						t.Errorf("refused with %v after %v", refusal, s.order)
+					if refusal != nil || s.callOrder[len(s.callOrder)-1] != "call s2" {
+						t.Errorf("refused with %v after %v", refusal, s.callOrder)
 					}
 					return
 				}
 				const probe = 100 * time.Millisecond
-				if refusal == nil || refusal.Code != tc.code || !refusal.NotRun() || refusal.RetryAfter < tc.back || refusal.RetryAfter > tc.back+probe || len(s.order) > 0 {
-					t.Errorf("refused with %+v after %v, want %s and %v", refusal, s.order, tc.code, tc.back)
+				if refusal == nil || refusal.Code != tc.code || !refusal.NotRun() || refusal.RetryAfter < tc.back || refusal.RetryAfter > tc.back+probe || len(s.callOrder) > 0 {
+					t.Errorf("refused with %+v after %v, want %s and %v", refusal, s.callOrder, tc.code, tc.back)
 				}
 			})
 		})
--- a/entry/run.go
+++ b/entry/run.go
@@ -19,16 +19,16 @@
 // Backoff between tries that failed at an endpoint.
 const (
 	backoffStart = 10 * time.Millisecond
-	backoffMost  = 500 * time.Millisecond
+	maxBackoff   = 500 * time.Millisecond
 )
 
-// run carries a completion through, trying again where that is allowed.
+// run takes a completion to its result, with retries where these are allowed.
 func (e *Entry) run(ctx context.Context, j *job) *result.Error {
-	e.budgets.Count(j.pool, j.came)
+	e.retryBudgets.Count(j.pool, j.arrived)
 	backoff := backoffStart
 	for {
 		j.tries++
-		if refusal := e.mayRun(ctx, j); refusal != nil {
+		if refusal := e.acquireProbe(ctx, j); refusal != nil {
 			return refusal
 		}
 		e.board.Invariant.Check(j.tries <= j.view.Doc.Limits.MaxAttempts, invariant.BudgetedRetries, "request %s: try %d", j.id, j.tries)
@@ -41,77 +41,77 @@
 			return asResult(err)
 		}
 		j.uncount(again)
-		if refusal := e.mayRetry(ctx, j, again); refusal != nil {
+		if refusal := e.checkRetry(ctx, j, again); refusal != nil {
 			return refusal
 		}
 		if !wait.For(ctx, backoff/2+rand.N(backoff)) {
 			return again.refusal
 		}
-		backoff = min(2*backoff, backoffMost)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// retryable is a failure after which the request may be tried again
-// elsewhere, if it may be repeated or did not run.
+// retryable is a failure after which the request may be tried again elsewhere, if it may be
+// repeated or did not run.
 type retryable struct {
-	name       string    // of the endpoint
-	stay       bool      // it may be tried again at the endpoint
-	unsent     bool      // it had no start there, and no call was made
-	bar        route.Bar // what barred the endpoint before the call; BarNone: nothing did
-	mayHaveRun bool
-	refusal    *result.Error // what the caller is told when there is no other try
+	endpointName string    // the endpoint that failed
+	sameEndpoint bool      // it may be retried at the same endpoint
+	notSent      bool      // no permit, or a backoff: no call was made
+	bar          route.Bar // what barred the endpoint before the call; BarNone: nothing
+	mayHaveRun   bool
+	refusal      *result.Error // sent to the caller if there is no further try
 }
 
 // Error implements the error interface.
 func (r *retryable) Error() string { return r.refusal.Error() }
 
-// mostUnsent is how many tries that made no call count as none: as many as a request can leave
-// out.
-const mostUnsent = route.MostExcluded
+// maxUncounted is how many tries without a call aren't counted: as many as a request can
+// exclude endpoints.
+const maxUncounted = route.MostExcluded
 
-// uncount has a try that made no call count as none: endpoints that have no start are found
-// out one after the other.
+// uncount takes back the count of a try that made no call: endpoints without a permit are
+// detected one after the other.
 func (j *job) uncount(r *retryable) {
-	if r.unsent && j.unsent < mostUnsent {
-		j.unsent++
+	if r.notSent && j.uncountedTries < maxUncounted {
+		j.uncountedTries++
 		j.tries--
 	}
 }
 
-// mayRetry returns nil if the job may be tried again, else what to say.
-func (e *Entry) mayRetry(ctx context.Context, j *job, r *retryable) *result.Error {
+// checkRetry returns nil if the job may be tried again, else the refusal.
+func (e *Entry) checkRetry(ctx context.Context, j *job, r *retryable) *result.Error {
 	switch {
 	case ctx.Err() != nil:
 		return r.refusal
 	case r.mayHaveRun && !j.repeatable:
 		return result.Errorf(result.OutcomeUnknown, "%s", r.refusal.Detail)
-	case j.ended >= mostEndsOfAttempt:
+	case j.crashCount >= maxCrashesPerAttempt:
 		return r.refusal
-	case j.tries >= j.view.Doc.Limits.MaxAttempts, r.mayHaveRun && j.attempts >= j.mostAttempts():
+	case j.tries >= j.view.Doc.Limits.MaxAttempts, r.mayHaveRun && j.attempts >= j.maxAttempts():
 		return r.refusal
-	case !r.unsent && !e.affords(j, r):
-		if j.ran {
+	case !r.notSent && !e.spendRetry(j, r):
+		if j.possiblyRan {
 			return r.refusal
 		}
 		return result.Errorf(result.RetryBudget, "the retry budget is spent; %s", r.refusal.Detail).After(time.Second)
 	}
-	if !r.stay {
-		j.pick.Drop(route.Number(r.name))
+	if !r.sameEndpoint {
+		j.criteria.Drop(route.Number(r.endpointName))
 	}
 	return nil
 }
 
-// affords spends from the retry budgets what another try costs, if they hold
-// it. In a window every further call counts, to be read and to be run.
-func (e *Entry) affords(j *job, r *retryable) bool {
-	if !e.budgets.Windowed() {
-		return e.budgets.Take(j.team.Name, r.name)
+// spendRetry charges the cost of another try to the retry budgets and reports whether they
+// cover it. In a windowed budget every further call counts, for prefill and for decode.
+func (e *Entry) spendRetry(j *job, r *retryable) bool {
+	if !e.retryBudgets.Windowed() {
+		return e.retryBudgets.Take(j.team.Name, r.endpointName)
 	}
-	calls := min(1, j.sends)
+	calls := min(1, j.decodeCalls)
 	if j.prompted {
-		calls += min(1, j.reads)
+		calls += min(1, j.prefillCalls)
 	}
-	return e.budgets.Further(j.pool, time.Now(), calls)
+	return e.retryBudgets.Further(j.pool, time.Now(), calls)
 }
 
 func asResult(err error) *result.Error {
@@ -122,23 +122,23 @@
 	return result.Errorf(result.NoEndpoint, "%v", err).After(time.Second)
 }
 
-// slack returns the time left to the first token. A resumed answer has its
-// first token; it only has to go on soon.
+// slack returns the time left to the first token. A resumed answer has its first token
+// already; it only has to continue soon.
 func (j *job) slack() time.Duration {
-	if j.out.pieces() > 0 {
+	if j.reply.chunks() > 0 {
 		return resumeSlack
 	}
-	return time.Until(j.came.Add(j.tried + time.Duration(aim*float64(j.target()))))
+	return time.Until(j.arrived.Add(j.probeWaited + time.Duration(targetShare*float64(j.target()))))
 }
 
-// aim is the share of the target that forecasts are made to meet, so that a
-// forecast that is a little off still meets it.
-const aim = 0.9
+// targetShare is the share of the target that forecasts must meet, so that a slightly wrong
+// forecast still meets the target.
+const targetShare = 0.9
 
-// resumeSlack is what a resumed answer may take to go on.
+// resumeSlack is how long a resumed answer may take to continue.
 const resumeSlack = 5 * time.Second
 
-// try is one try at the whole way from reservation to the end of the answer.
+// try makes one pass, from reservation to the end of the answer.
 func (e *Entry) try(ctx context.Context, j *job) error {
 	e.board.Pause.Check()
 	if !j.view.Doc.Policy.Mode.Reserves() {
@@ -148,56 +148,56 @@
 	if err != nil {
 		return err
 	}
-	j.phase(0)
-	if p.pre == nil {
-		wait.For(ctx, time.Until(p.start))
-		return e.write(ctx, j, p, nil)
+	j.markPhase(0)
+	if p.prefillSpec == nil {
+		wait.For(ctx, time.Until(p.transferStart))
+		return e.decode(ctx, j, p, nil)
 	}
-	if !wait.For(ctx, p.early()) {
-		e.returnTurn(p)
+	if !wait.For(ctx, p.prefillDelay()) {
+		e.releasePrefill(p)
 		e.releaseDecode(j, p, owner.GivenUp)
 		return asResult(ctx.Err())
 	}
-	if b := e.bars(j, p.pre); b != route.BarNone {
-		e.returnTurn(p)
+	if b := e.barFor(j, p.prefillSpec); b != route.BarNone {
+		e.releasePrefill(p)
 		e.releaseDecode(j, p, owner.GivenUp)
-		return barredSince(p.pre, b)
+		return barredFailure(p.prefillSpec, b)
 	}
-	kv, err := e.read(ctx, j, p)
+	kv, err := e.prefill(ctx, j, p)
 	if err != nil {
 		e.releaseDecode(j, p, owner.GivenUp)
 		return err
 	}
-	j.phase(2)
-	if !wait.For(ctx, min(time.Until(p.start), kept(kv)/2)) {
-		e.discard(j, p, kv)
+	j.markPhase(2)
+	if !wait.For(ctx, min(time.Until(p.transferStart), keptFor(kv)/2)) {
+		e.discardResult(j, p, kv)
 		return asResult(ctx.Err())
 	}
-	return e.write(ctx, j, p, kv)
+	return e.decode(ctx, j, p, kv)
 }
 
-// early returns how long the prompt should not be read yet, because its result
-// would wait too long for the decode engine's memory.
-func (p *plan) early() time.Duration {
-	wait := time.Until(p.start) - p.Read
-	if wait < time.Duration(p.pre.ResultKeepMillis)*time.Millisecond/keepShare {
+// prefillDelay returns how long to hold the prompt back, because its result would otherwise
+// wait too long for memory at the decode engine.
+func (p *plan) prefillDelay() time.Duration {
+	wait := time.Until(p.transferStart) - p.Read
+	if wait < time.Duration(p.prefillSpec.ResultKeepMillis)*time.Millisecond/resultWaitDivisor {
 		return 0
 	}
 	return wait
 }
 
-// keepShare is the part of the time for which a result is kept that it may
-// wait for memory.
-const keepShare = 8
+// resultWaitDivisor: a result may wait for memory for this fraction of the time for which
+// it is kept.
+const resultWaitDivisor = 8
 
-func kept(kv *endpoint.Transfer) time.Duration {
+func keptFor(kv *endpoint.Transfer) time.Duration {
 	return time.Duration(kv.KeptMillis) * time.Millisecond
 }
 
-// phase notes the time at the end of a phase, for the log.
-func (j *job) phase(i int) { j.phases[i] = time.Since(j.came) }
+// markPhase records the time at the end of a phase, for the log.
+func (j *job) markPhase(i int) { j.phases[i] = time.Since(j.arrived) }
 
-// setPhase tells the table of requests how far the job has come.
+// setPhase updates the job's phase in the request table.
 func (e *Entry) setPhase(j *job, ph blackboard.Phase, f func(r *blackboard.Request)) {
 	now := time.Now()
 	e.board.Requests.Update(j.id, func(r *blackboard.Request) {
