--- a/entry/service.go
+++ b/entry/service.go
@@ -23,9 +23,9 @@
 	"github.com/embercove/embercove/route"
 )
 
-// service passes a call on to a plain service.
+// service forwards a call to a plain service.
 func (e *Entry) service(w http.ResponseWriter, q *http.Request) {
-	v, src, ok := e.receive(w, q, apiCaller)
+	v, src, ok := e.receiveCall(w, q, apiCaller)
 	if !ok {
 		return
 	}
@@ -48,18 +48,18 @@
 		return
 	}
 	j := e.newJob(v, r, hd)
-	j.work = &endpoint.Work{Origin: &request.Origin{Method: q.Method, URL: target, Host: q.Host, Header: passedOn(q.Header), Body: src}}
-	j.identify(q, src)
-	j.out = newPassage(w, writeError)
-	e.carry(q.Context(), j, xxhash.Sum64(src), func(ctx context.Context) *result.Error { return e.runService(ctx, j) })
+	j.work = &endpoint.Work{Origin: &request.Origin{Method: q.Method, URL: target, Host: q.Host, Header: forwardedHeaders(q.Header), Body: src}}
+	j.setFingerprint(q, src)
+	j.reply = newPassthrough(w, writeError)
+	e.execute(q.Context(), j, xxhash.Sum64(src), func(ctx context.Context) *result.Error { return e.runService(ctx, j) })
 }
 
-// hopByHop are headers that belong to one connection, and those that are
-// meant for embercove itself.
+// hopByHop are headers that belong to a single connection, and those that are for embercove
+// itself.
 var hopByHop = []string{"Connection", "Keep-Alive", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length",
 	"Authorization", HeaderTeam, HeaderKey, HeaderKeyAge, HeaderPriority, HeaderDeadline, HeaderRepeatable, HeaderLabels}
 
-func passedOn(h http.Header) http.Header {
+func forwardedHeaders(h http.Header) http.Header {
 	out := h.Clone()
 	for _, name := range hopByHop {
 		out.Del(name)
@@ -67,45 +67,45 @@
 	return out
 }
 
-// runService tries the call where that is allowed. A call that may not be
-// repeated goes out once, and again only if nothing can have run.
+// runService tries the call, with retries where these are allowed. A call that may not be
+// repeated is sent once, and again only if it can't have run.
 func (e *Entry) runService(ctx context.Context, j *job) *result.Error {
-	e.budgets.Count(j.pool, j.came)
+	e.retryBudgets.Count(j.pool, j.arrived)
 	for {
-		if refusal := e.mayRun(ctx, j); refusal != nil {
+		if refusal := e.acquireProbe(ctx, j); refusal != nil {
 			return refusal
 		}
 		j.tries++
 		spec := e.chooseService(j)
 		if spec == nil {
-			if j.last != nil {
-				return result.Errorf(result.AnswerBroken, "the service failed, and no other endpoint of it is in reach")
+			if j.lastFailure != nil {
+				return result.Errorf(result.AnswerBroken, "the service failed, and no other endpoint of it is reachable")
 			}
-			return e.nowhere(j, "endpoint of the service", services)
+			return e.noneOpen(j, "endpoint of the service", serviceStates)
 		}
-		elsewhere, refusal := e.mayRunAt(ctx, j, spec, quarantine.Running)
+		elsewhere, refusal := e.acquireProbeAt(ctx, j, spec, quarantine.Running)
 		if refusal != nil {
 			return refusal
 		}
-		failed := barredSince(spec, route.BarTrial)
+		failed := barredFailure(spec, route.BarTrial)
 		if !elsewhere {
-			failed = e.start(ctx, j, spec)
+			failed = e.acquirePermit(ctx, j, spec)
 		}
 		if failed == nil {
 			err := e.callService(ctx, j, spec)
 			if err == nil {
 				return nil
 			}
-			if j.out.complete() {
+			if j.reply.complete() {
 				return result.Errorf(result.AnswerBroken, "%s broke off its answer", spec.Name)
 			}
-			failed = e.failed(spec, err)
+			failed = e.callFailure(spec, err)
 		}
 		j.uncount(failed)
-		if refusal := e.mayRetry(ctx, j, failed); refusal != nil {
+		if refusal := e.checkRetry(ctx, j, failed); refusal != nil {
 			return refusal
 		}
-		if failed.unsent {
+		if failed.notSent {
 			continue
 		}
 		if !wait.For(ctx, backoffStart) {
@@ -114,52 +114,53 @@
 	}
 }
 
-// chooseService takes an endpoint of the own region, unless by forecast the call is in
-// time in another region and not in its own, or its own has no endpoint for it.
+// chooseService selects an endpoint of the local region. It selects one of another region
+// if by forecast the call meets its target there and not locally, or if the local region
+// has no endpoint for it.
 func (e *Entry) chooseService(j *job) *config.Endpoint {
-	e.goHome(j)
+	e.returnToLocalRegion(j)
 	spec, here := e.bestService(j)
-	n, stays := j.callNeeds(spec, here, spec == nil && e.homeless(j))
-	if stays || !e.leave(j, n, serviceTrips, j.reach(), services) {
+	n, stays := j.serviceRemoteNeed(spec, here, spec == nil && e.noLocalEndpoint(j))
+	if stays || !e.redirectJob(j, n, serviceRoundTrips, j.localRegions(), serviceStates) {
 		return spec
 	}
 	if there, _ := e.bestService(j); there != nil {
 		return there
 	}
-	e.goHome(j)
+	e.returnToLocalRegion(j)
 	return spec
 }
 
-func services(g *route.Group) []*route.State { return g.Service.All() }
+func serviceStates(g *route.Group) []*route.State { return g.Service.All() }
 
-// surePart is the part of the time left in which a call has to be answered elsewhere on
-// average, so that most are in time. With all of it calls that would be refused at once run
-// late in another region where all regions have a burst.
-const surePart = 0.6
+// remoteTimeShare is the share of the time left within which a call must on average be
+// answered in another region, so that most are in time. With all of the time left, when all
+// regions have a burst, calls that would be refused at once run there and finish late.
+const remoteTimeShare = 0.6
 
-// callNeeds returns what a call needs outside of its region, where it takes so long at an
-// endpoint of its own, and whether it stays in any case. One whose region has no endpoint
-// for it leaves though it may be late.
-func (j *job) callNeeds(spec *config.Endpoint, here time.Duration, homeless bool) (n region.Need, stays bool) {
-	left := time.Until(j.came.Add(time.Duration(aim * float64(j.target()))))
-	n.Left = time.Duration(surePart * float64(left))
+// serviceRemoteNeed returns what a call needs in another region if it takes here at the
+// best local endpoint, and whether it stays in any case. A call whose region has no
+// endpoint for it is redirected even if it may be late.
+func (j *job) serviceRemoteNeed(spec *config.Endpoint, here time.Duration, homeless bool) (n region.Need, stays bool) {
+	left := time.Until(j.arrived.Add(time.Duration(targetShare * float64(j.target()))))
+	n.Left = time.Duration(remoteTimeShare * float64(left))
 	switch {
 	case homeless:
 		n.Homeless = true
 		if j.deadline > 0 {
-			n.Left = time.Until(j.came.Add(j.deadline))
+			n.Left = time.Until(j.arrived.Add(j.deadline))
 		}
-	case spec != nil && float64(here) <= leavePart*float64(left):
+	case spec != nil && float64(here) <= redirectWaitShare*float64(left):
 		return n, true
 	case spec != nil:
-		n.Left = min(n.Left, faster(here))
+		n.Left = min(n.Left, maxRemoteWait(here))
 	}
 	return n, false
 }
 
-// homeless reports whether no endpoint of a call's own region is open to it, those that
-// have refused it not counted out.
-func (e *Entry) homeless(j *job) bool {
+// noLocalEndpoint reports whether no endpoint of a call's own region is open to it,
+// ignoring that some have refused it.
+func (e *Entry) noLocalEndpoint(j *job) bool {
 	none := true
 	e.board.Endpoints.Read(func(fleet *route.Fleet) {
 		v := fleet.View
@@ -167,9 +168,9 @@
 		if g == nil {
 			return
 		}
-		r := j.pick
+		r := j.criteria
 		r.Exclude = [route.MostExcluded]uint32{}
-		e.bind(v, j, &r)
+		e.bindRegions(v, j, &r)
 		for _, s := range g.Service.All() {
 			none = none && !route.Open(s, &r)
 		}
@@ -177,8 +178,8 @@
 	return none
 }
 
-// callService makes one call and passes its answer on. A failure of a call
-// that may be repeated is kept, in case no other try does better.
+// callService makes one call and forwards its answer. A failure answer to a call that may
+// be repeated is kept, in case no other try does better.
 func (e *Entry) callService(ctx context.Context, j *job, spec *config.Endpoint) (err error) {
 	inv := e.board.Invariant
 	inv.Check(j.repeatable || !j.started, invariant.SingleRun, "call %s would start twice", j.id)
@@ -186,40 +187,40 @@
 	a := e.board.Requests.Open(j.id)
 	defer e.board.Requests.Close(a)
 	e.setPhase(j, blackboard.PhaseService, func(r *blackboard.Request) { r.Decode = spec.Name })
-	j.decode = spec.Name
-	undo := j.mayRun(true)
-	j.sends++
+	j.decodeName = spec.Name
+	undo := j.markRun(true)
+	j.decodeCalls++
 	number := route.Number(spec.Name)
 	e.owners.Touched(number, 1)
 	defer e.owners.Touched(number, -1)
 	began := time.Now()
 	r := e.beginRun(j, spec, quarantine.Running)
 	defer func() {
-		e.note(ctx, j, spec, blackboard.PhaseService, err, time.Since(began))
+		e.recordCall(ctx, j, spec, blackboard.PhaseService, err, time.Since(began))
 		e.endRun(ctx, j, r, 0, err)
 	}()
-	ans, err := e.engine.Service(ctx, e.call(j, spec, a), j.work)
+	ans, err := e.engine.Service(ctx, e.newCall(j, spec, a), j.work)
 	if err != nil {
 		if endpoint.Unreachable(err) {
-			j.sends--
+			j.decodeCalls--
 		}
 		if !endpoint.MayHaveRun(err) {
 			undo()
 		}
 		return err
 	}
-	if err := buffer(ans); err != nil {
+	if err := bufferBody(ans); err != nil {
 		ans.Body.Close()
 		return &endpoint.CallError{Address: spec.Address, Status: ans.Status, MayHaveRun: true, Cause: err}
 	}
 	failure := &endpoint.CallError{Address: spec.Address, Status: ans.Status, MayHaveRun: true, Answer: ans}
-	if ans.Status >= http.StatusInternalServerError && j.repeatable && j.attempts < j.mostAttempts() {
-		j.keep(failure)
+	if ans.Status >= http.StatusInternalServerError && j.repeatable && j.attempts < j.maxAttempts() {
+		j.keepFailure(failure)
 		return failure
 	}
 	defer ans.Body.Close()
-	e.budgets.Earn(j.team.Name, spec.Name, j.view.Doc.Limits.RetryShare)
-	if err := j.out.whole(ans); err != nil {
+	e.retryBudgets.Earn(j.team.Name, spec.Name, j.view.Doc.Limits.RetryShare)
+	if err := j.reply.sendWhole(ans); err != nil {
 		return &endpoint.CallError{Address: spec.Address, MayHaveRun: true, Cause: err}
 	}
 	return nil
--- a/entry/service_choice.go
+++ b/entry/service_choice.go
@@ -7,66 +7,66 @@
 	"github.com/embercove/embercove/route"
 )
 
-// bestService takes the endpoint with the fewest calls from this host, of
-// the own failure domain first. Failures that were seen and a reach that was
-// lost weigh as calls. A call that has failed once isn't tried at an endpoint
-// that was just out of reach: it is refused instead, in time to go elsewhere. It returns
-// as well how long a call takes there by what was seen, forever if it was full or out of
-// reach just now.
+// bestService selects the endpoint with the fewest calls from this host, preferring the own
+// failure domain. Recent failures and lost connections count as calls. A call that has
+// failed once isn't tried at an endpoint that was unreachable just now: it is refused
+// instead, in time to go elsewhere. takes is the typical duration of a call there; it is
+// forever if the endpoint was full or unreachable just now.
 func (e *Entry) bestService(j *job) (spec *config.Endpoint, takes time.Duration) {
-	j.pick.Now = time.Now()
+	j.criteria.Now = time.Now()
 	e.board.Endpoints.Read(func(fleet *route.Fleet) {
-		if j.pick.Group = j.group(fleet); j.pick.Group == nil {
+		if j.criteria.Group = j.group(fleet); j.criteria.Group == nil {
 			return
 		}
-		e.bind(fleet.View, j, &j.pick)
+		e.bindRegions(fleet.View, j, &j.criteria)
 		open := func(s *route.State) bool {
-			return route.Open(s, &j.pick) && (j.repeatable || s.Spec.NotRepeatableAllows) && !(j.tries > 1 && s.Seen.Shunned(j.pick.Now))
+			return route.Open(s, &j.criteria) && (j.repeatable || s.Spec.NotRepeatableAllows) && !(j.tries > 1 && s.Seen.Shunned(j.criteria.Now))
 		}
-		best := fleet.PickService(&j.pick, open, func(s *route.State) float64 { return serviceCost(s, &j.pick) })
+		best := fleet.PickService(&j.criteria, open, func(s *route.State) float64 { return serviceCost(s, &j.criteria) })
 		if best != nil {
-			spec, takes = best.Spec, callTakes(best, j.pick.Now)
+			spec, takes = best.Spec, callTime(best, j.criteria.Now)
 		}
 	})
 	return spec, takes
 }
 
-// callTakes returns how long a call at an endpoint takes by what this host saw.
-func callTakes(s *route.State, now time.Time) time.Duration {
+// callTime returns how long a call at an endpoint typically takes, from this host's own
+// calls.
+func callTime(s *route.State, now time.Time) time.Duration {
 	if s.Seen.Shunned(now) || now.Before(s.Seen.Full) {
 		return forever
 	}
 	return time.Duration(s.Seen.Took * float64(time.Second))
 }
 
-// Costs of an endpoint of a service, in calls that it may have more of than
-// another before that one is taken.
+// Penalties of a service endpoint, as the number of calls that another endpoint may have
+// more before this one is selected.
 const (
-	otherDomainCalls = 4
-	coldCalls        = 8 // a failure domain that returns is filled once the others are busy
-	limitedCalls     = 8 // one that names a limit takes what the others have no room for
-	failingCalls     = 12.0
-	shunnedCalls     = 1000.0
-	fullCalls        = 50.0
-	slowCalls        = 40.0 // for each second that an answer takes on average
+	otherDomainPenalty = 4
+	coldPenalty        = 8 // a failure domain that comes back is filled once the others are busy
+	limitedPenalty     = 8 // an endpoint that names a limit takes what the others have no capacity for
+	failingPenalty     = 12.0
+	unreachablePenalty = 1000.0
+	fullPenalty        = 50.0
+	slowPenalty        = 40.0 // per second of the mean call time
 )
 
 func serviceCost(s *route.State, r *route.Request) float64 {
-	cost := float64(s.Sent) + failingCalls*s.Seen.Failing(r.Now) + slowCalls*s.Seen.Took
+	cost := float64(s.Sent) + failingPenalty*s.Seen.Failing(r.Now) + slowPenalty*s.Seen.Took
 	if s.Domain != r.Home {
-		cost += otherDomainCalls
+		cost += otherDomainPenalty
 	}
 	if s.Cold(r.Now) {
-		cost += coldCalls
+		cost += coldPenalty
 	}
 	if s.Limited(r.Now) {
-		cost += limitedCalls
+		cost += limitedPenalty
 	}
 	if s.Seen.Shunned(r.Now) {
-		cost += shunnedCalls
+		cost += unreachablePenalty
 	}
 	if r.Now.Before(s.Seen.Full) {
-		cost += fullCalls
+		cost += fullPenalty
 	}
 	return cost
 }
--- a/entry/service_test.go
+++ b/entry/service_test.go
@@ -14,8 +14,8 @@
 "pools": [{"name": "web", "takes_not_repeatable": true}],
 "routes": [{"name": "page", "host": "h", "path_prefix": "/", "pools": [{"pool": "web", "weight": 1}]}]}`
 
-// TestChooseService states what a host of domain a has seen of three plain
-// endpoints, s0 in a, s1 and s2 in b, and names the one that is called.
+// TestChooseService sets what a host in domain a observed of three plain endpoints, s0 in
+// a, s1 and s2 in b, and checks which one is called.
 func TestChooseService(t *testing.T) {
 	now := time.Now()
 	cases := []struct {
@@ -28,13 +28,13 @@
 		{"the own is busy", func(s []*route.State) { s[0].Sent = 6 }, 1, "s1"},
 		{"the own fails", func(s []*route.State) { s[0].Seen.Failed, s[0].Seen.At = 0.9, now }, 1, "s1"},
 		{"the own was full just now", func(s []*route.State) { s[0].Seen.Full = now.Add(time.Second) }, 1, "s1"},
-		{"the own was out of reach", func(s []*route.State) { s[0].Seen.Shun = now.Add(time.Second) }, 1, "s1"},
-		{"all were out of reach, at first", func(s []*route.State) {
+		{"the own was unreachable", func(s []*route.State) { s[0].Seen.Shun = now.Add(time.Second) }, 1, "s1"},
+		{"all were unreachable, at first", func(s []*route.State) {
 			for i := range s {
 				s[i].Seen.Shun = now.Add(time.Second)
 			}
 		}, 1, "s0"},
-		{"all were out of reach, and one was tried", func(s []*route.State) {
+		{"all were unreachable, and one was tried", func(s []*route.State) {
 			for i := range s {
 				s[i].Seen.Shun = now.Add(time.Second)
 			}
@@ -62,7 +62,7 @@
 			b.Endpoints.Read(func(fleet *route.Fleet) { tc.see(statesOf(fleet)) })
 			e := &Entry{board: b}
 			j := &job{headers: headers{team: defaultTeam}, view: v, route: v.RouteFor("h", "/x"), pool: "web", tries: tc.tries,
-				pick: route.Request{Home: v.DomainIndex("a"), Region: v.RegionSet("r")}}
+				criteria: route.Request{Home: v.DomainIndex("a"), Region: v.RegionSet("r")}}
 			got := ""
 			if spec := e.chooseService(j); spec != nil {
 				got = spec.Name
--- a/entry/start.go
+++ b/entry/start.go
@@ -14,67 +14,68 @@
 	"github.com/embercove/embercove/route"
 )
 
-// Each call to an endpoint that is cold or names a limit needs a start, which its owner gives
-// out just before.
+// Each call to an endpoint that is cold or names a limit needs a start permit, which the
+// endpoint's owner grants just before the call.
 
 const (
-	// startRest is the least time for which an endpoint isn't asked for a start after
-	// it had none.
-	startRest = 20 * time.Millisecond
-	// aheadKept is how much longer than until its prompt is taken to be read a start is kept for
-	// an answer.
-	aheadKept = 500 * time.Millisecond
-	// aheadMost is the longest that a start is kept for an answer: what is used so late adds to
-	// what was given out meanwhile.
-	aheadMost = 1500 * time.Millisecond
-	// backMost bounds what a refused caller is told.
-	backMost = 8 * time.Second
+	// minPermitRetry is the least time for which an endpoint isn't asked for a permit again
+	// after it had none.
+	minPermitRetry = 20 * time.Millisecond
+	// permitHoldExtra is how much longer than to the forecast end of the prefill a permit
+	// is held for an answer.
+	permitHoldExtra = 500 * time.Millisecond
+	// maxPermitHold is the longest time for which a permit is held for an answer: a permit
+	// used later adds to the ones granted in the meantime.
+	maxPermitHold = 1500 * time.Millisecond
+	// maxPermitRetryAfter bounds the retry time of a refused caller.
+	maxPermitRetryAfter = 8 * time.Second
 )
 
-// start waits until a call may go to an endpoint. It returns why it may not: no start is to
-// be had there in time, or it was barred while the call waited. Nothing has run then.
-func (e *Entry) start(ctx context.Context, j *job, spec *config.Endpoint) *retryable {
-	most := e.startWait(j, spec)
+// acquirePermit waits until a call may be made to an endpoint. It returns why the call may
+// not be made: no permit is available there in time, or the endpoint was barred during the
+// wait. Nothing has run then.
+func (e *Entry) acquirePermit(ctx context.Context, j *job, spec *config.Endpoint) *retryable {
+	most := e.maxPermitWait(j, spec)
 	for end := time.Now().Add(most); ; {
-		b := e.startBar(spec)
+		b := e.permitReason(spec)
 		if b == route.BarNone {
 			break
 		}
 		left := time.Until(end)
-		s := e.askStart(ctx, j, spec, b, left)
+		s := e.requestPermit(ctx, j, spec, b, left)
 		if !s.Given && s.In > left {
-			return e.noStart(j, spec, b, s, left)
+			return e.noPermit(j, spec, b, s, left)
 		}
 		if !wait.For(ctx, s.In) {
-			return &retryable{name: spec.Name, refusal: result.Errorf(result.TooLate, "the caller's time ended before %s had a start", spec.Name)}
+			return &retryable{endpointName: spec.Name, refusal: result.Errorf(result.TooLate, "the deadline passed before %s had a start permit", spec.Name)}
 		}
 		if s.Given && clock.Now().Before(s.Until) {
 			break
 		}
 	}
-	return e.mayCall(j, spec)
+	return e.admitCall(j, spec)
 }
 
-// startHeld is start for a call that may have its start already.
-func (e *Entry) startHeld(ctx context.Context, j *job, spec *config.Endpoint, h *heldStart) *retryable {
+// useOrAcquirePermit is acquirePermit for a call that may hold its permit already.
+func (e *Entry) useOrAcquirePermit(ctx context.Context, j *job, spec *config.Endpoint, h *heldPermit) *retryable {
 	if h.take(spec) {
-		return e.mayCall(j, spec)
+		return e.admitCall(j, spec)
 	}
-	return e.start(ctx, j, spec)
+	return e.acquirePermit(ctx, j, spec)
 }
 
-// askStart asks for a start that comes within wait.
-func (e *Entry) askStart(ctx context.Context, j *job, spec *config.Endpoint, b route.Bar, wait time.Duration) peer.Start {
+// requestPermit asks the owner for a permit that is valid within wait.
+func (e *Entry) requestPermit(ctx context.Context, j *job, spec *config.Endpoint, b route.Bar, wait time.Duration) peer.Start {
 	s := e.owners.Start(ctx, spec, peer.StartAsk{Wait: max(0, wait), Warm: b == route.BarLimited,
-		Asker: pace.Asker{Team: j.teamNum, Priority: j.priority}})
+		Asker: pace.Asker{Team: j.teamNumber, Priority: j.priority}})
 	if !s.Given {
-		s.In = max(s.In, startRest)
+		s.In = max(s.In, minPermitRetry)
 	}
 	return s
 }
 
-// startBar returns what a call to an endpoint needs a start for; BarNone: it needs none.
-func (e *Entry) startBar(spec *config.Endpoint) (b route.Bar) {
+// permitReason returns why a call to an endpoint needs a permit; BarNone: it needs none.
+func (e *Entry) permitReason(spec *config.Endpoint) (b route.Bar) {
 	e.board.Endpoints.Find(route.Number(spec.Name), func(_ *config.View, s *route.State) {
 		_, limited := s.Limit.Limit(clock.Now())
 		switch {
@@ -87,19 +88,20 @@
 	return b
 }
 
-// startWait returns how long a call may wait for a start: a request that could go elsewhere
-// shouldn't stand in line for long, and not at all while others of the pool have room.
-func (e *Entry) startWait(j *job, spec *config.Endpoint) time.Duration {
+// maxPermitWait returns how long a call may wait for a permit. A request that could go
+// elsewhere shouldn't queue for long, and not at all while other endpoints of the pool have
+// capacity.
+func (e *Entry) maxPermitWait(j *job, spec *config.Endpoint) time.Duration {
 	most := max(pace.LeastWait, min(pace.MostWait, j.slack()))
 	e.board.Endpoints.Read(func(fleet *route.Fleet) {
 		v := fleet.View
 		g := j.group(fleet)
-		if g == nil || !limitedOnly(fleet, spec) {
+		if g == nil || !limitedNotCold(fleet, spec) {
 			return
 		}
-		r := j.pick
+		r := j.criteria
 		r.Now = time.Now()
-		e.bind(v, j, &r)
+		e.bindRegions(v, j, &r)
 		for _, s := range g.Of(spec.Role).All() {
 			if s.Spec.Name != spec.Name && route.Open(s, &r) && s.Free(r.Now) {
 				most = 0
@@ -109,41 +111,41 @@
 	return most
 }
 
-// limitedOnly reports whether an endpoint names a limit and isn't cold.
-func limitedOnly(fleet *route.Fleet, spec *config.Endpoint) bool {
+// limitedNotCold reports whether an endpoint names a limit and isn't cold.
+func limitedNotCold(fleet *route.Fleet, spec *config.Endpoint) bool {
 	s := fleet.Find(route.Number(spec.Name))
 	return s != nil && s.Limited(time.Now()) && !s.Cold(time.Now())
 }
 
-// noStart notes that there is no start at an endpoint before some time for a call that
-// would wait, and returns the refusal.
-func (e *Entry) noStart(j *job, spec *config.Endpoint, b route.Bar, s peer.Start, wait time.Duration) *retryable {
+// noPermit records that an endpoint has no permit for some time for a call that would wait
+// that long, and returns the refusal.
+func (e *Entry) noPermit(j *job, spec *config.Endpoint, b route.Bar, s peer.Start, wait time.Duration) *retryable {
 	now := time.Now()
 	e.board.Endpoints.Touch(route.Number(spec.Name), func(st *route.State) {
-		st.NoStart, st.Back = now.Add(max(startRest, s.In-wait)), now.Add(max(s.In, s.Back))
+		st.NoStart, st.Back = now.Add(max(minPermitRetry, s.In-wait)), now.Add(max(s.In, s.Back))
 	})
 	e.Unstarted.Add(1)
-	refusal := result.Errorf(codeOf(b), "%s: %s", spec.Name, b).After(max(s.In, s.Back))
+	refusal := result.Errorf(barCode(b), "%s: %s", spec.Name, b).After(max(s.In, s.Back))
 	e.logRefused(j, spec, "start", refusal, 0)
-	return &retryable{name: spec.Name, unsent: true, bar: b, refusal: refusal}
+	return &retryable{endpointName: spec.Name, notSent: true, bar: b, refusal: refusal}
 }
 
-// startAhead asks for the start of an answer before its prompt is read, where the endpoint
-// that is to write it names a limit: what it doesn't take is not to be read for it. in is when
-// the prompt will be read.
-func (e *Entry) startAhead(ctx context.Context, j *job, p *plan, in time.Duration) *result.Error {
-	p.held = heldStart{}
-	b := e.startBar(p.dec)
+// acquireDecodePermit requests the permit for an answer before its prompt is prefilled, if
+// the decode endpoint names a limit: a prompt shouldn't be prefilled for an answer that the
+// endpoint won't take. in is the time until the prefill ends.
+func (e *Entry) acquireDecodePermit(ctx context.Context, j *job, p *plan, in time.Duration) *result.Error {
+	p.permit = heldPermit{}
+	b := e.permitReason(p.decodeSpec)
 	if b != route.BarLimited {
 		return nil
 	}
-	most := e.startWait(j, p.dec) + in
-	s := e.askStart(ctx, j, p.dec, b, most)
+	most := e.maxPermitWait(j, p.decodeSpec) + in
+	s := e.requestPermit(ctx, j, p.decodeSpec, b, most)
 	if !s.Given {
-		return e.noStart(j, p.dec, b, s, most).refusal
+		return e.noPermit(j, p.decodeSpec, b, s, most).refusal
 	}
-	p.start = later(p.start, time.Now().Add(s.In))
-	p.held = heldStart{at: p.dec.Name, until: s.Until.Add(min(aheadMost, max(in, time.Until(p.start))+p.Move+aheadKept))}
+	p.transferStart = later(p.transferStart, time.Now().Add(s.In))
+	p.permit = heldPermit{endpoint: p.decodeSpec.Name, until: s.Until.Add(min(maxPermitHold, max(in, time.Until(p.transferStart))+p.Move+permitHoldExtra))}
 	return nil
 }
 
@@ -154,22 +156,23 @@
 	return a
 }
 
-// heldStart is the start that a plan has for its answer already; the zero value: none.
-type heldStart struct {
-	at    string // endpoint
-	until time.Time
+// heldPermit is the permit that a plan already has for its answer. The zero value is none.
+type heldPermit struct {
+	endpoint string // name of the endpoint that it is for
+	until    time.Time
 }
 
-// take uses the start up, and reports whether there is one at an endpoint.
-func (h *heldStart) take(spec *config.Endpoint) bool {
-	there := h.at == spec.Name && clock.Now().Before(h.until)
-	*h = heldStart{}
+// take consumes the permit, and reports whether it was valid for an endpoint.
+func (h *heldPermit) take(spec *config.Endpoint) bool {
+	there := h.endpoint == spec.Name && clock.Now().Before(h.until)
+	*h = heldPermit{}
 	return there
 }
 
-// startBack returns when a caller is to come back that none of some endpoints has a start for,
-// and names that time to it alone: the next one that this host refuses is told a later one.
-func (e *Entry) startBack(list []uint32) time.Duration {
+// permitRetryAfter returns when a caller should retry that found no permit at any of the
+// listed endpoints. That time is given to this caller alone: the next one that this host
+// refuses gets a later one.
+func (e *Entry) permitRetryAfter(list []uint32) time.Duration {
 	now := time.Now()
 	first, back := uint32(0), time.Duration(math.MaxInt64)
 	for _, number := range list {
@@ -185,10 +188,10 @@
 	if first == 0 {
 		return time.Second
 	}
-	back = min(max(back, 0), backMost)
+	back = min(max(back, 0), maxPermitRetryAfter)
 	e.board.Endpoints.Touch(first, func(s *route.State) {
 		if w := s.Limit.Word(); w.Named {
-			s.Back = now.Add(back + time.Duration(float64(time.Second)/max(w.PerSecond, 1/backMost.Seconds())))
+			s.Back = now.Add(back + time.Duration(float64(time.Second)/max(w.PerSecond, 1/maxPermitRetryAfter.Seconds())))
 		}
 	})
 	return back
--- a/entry/start_test.go
+++ b/entry/start_test.go
@@ -19,21 +19,21 @@
 	"github.com/embercove/embercove/route"
 )
 
-// startScene is a pool of cold endpoints whose owners give out starts by a script.
-type startScene struct {
+// coldScene is a pool of cold endpoints whose owners grant start permits by a script.
+type coldScene struct {
 	*leavingScene
-	script []peer.Start // in the order in which starts are asked for; then each is given at once
-	whole  int          // starts before the moment atStart
+	permits       []peer.Start // answers in order of the requests; further ones are granted at once
+	permitsBefore int          // permits before the step atPermit
 }
 
-func (s *startScene) Start(_ context.Context, spec *config.Endpoint, _ peer.StartAsk) peer.Start {
-	s.order = append(s.order, "start at "+spec.Name)
-	if s.whole--; s.whole < 0 {
-		s.leave(atStart, spec.Name)
+func (s *coldScene) Start(_ context.Context, spec *config.Endpoint, _ peer.StartAsk) peer.Start {
+	s.callOrder = append(s.callOrder, "permit at "+spec.Name)
+	if s.permitsBefore--; s.permitsBefore < 0 {
+		s.leaveNow(atPermit, spec.Name)
 	}
 	start := peer.Start{Given: true, Until: time.Now().Add(time.Second)}
-	if len(s.script) > 0 {
-		start, s.script = s.script[0], s.script[1:]
+	if len(s.permits) > 0 {
+		start, s.permits = s.permits[0], s.permits[1:]
 	}
 	if start.Given && start.Until.IsZero() {
 		start.Until = time.Now().Add(start.In + time.Second)
@@ -41,10 +41,10 @@
 	return start
 }
 
-// calls returns what was asked for and called, with the endpoints of a role alike.
-func (s *startScene) calls() string {
+// callLog returns the permits and calls, without the numbers of the endpoints.
+func (s *coldScene) callLog() string {
 	var out []string
-	for _, c := range s.order {
+	for _, c := range s.callOrder {
 		if !strings.HasPrefix(c, "reserve") {
 			out = append(out, strings.TrimRight(c, "12"))
 		}
@@ -52,11 +52,11 @@
 	return strings.Join(out, ", ")
 }
 
-// TestStarts checks that each call to a cold endpoint has a start of its own, that a start
-// is used no earlier and no later than it may be, and that a request goes elsewhere, or is
-// refused as not run, where none is to be had.
+// TestStarts checks that each call to a cold endpoint has a start permit of its own, that a
+// permit is used neither before nor after it is valid, and that a request goes elsewhere,
+// or is refused as not run, if there is none.
 func TestStarts(t *testing.T) {
-	const whole = "start at p, read at p, start at d, write at d"
+	const whole = "permit at p, prefill at p, permit at d, decode at d"
 	none := peer.Start{In: 700 * time.Millisecond}
 	for _, tc := range []struct {
 		name   string
@@ -66,26 +66,26 @@
 		want   string
 		code   result.Code
 	}{
-		{name: "warm", warm: true, want: "read at p, write at d"},
-		{name: "given at once", want: whole},
-		{name: "given for later", script: []peer.Start{{Given: true, In: 300 * time.Millisecond}}, want: whole},
-		{name: "too late to be used", script: []peer.Start{{Given: true, Until: time.Unix(0, 1)}}, want: "start at p, " + whole},
-		{name: "none where it would be read first", script: []peer.Start{none}, want: "start at p, " + whole},
-		{name: "none where it would be written first", script: []peer.Start{{Given: true}, none},
-			want: "start at p, read at p, start at d, start at d, write at d"},
-		{name: "a full engine is called again", full: 1, want: whole + ", start at d, write at d"},
-		{name: "none at all", script: []peer.Start{none, none}, want: "start at p, start at p", code: result.Cold},
+		{name: "warm", warm: true, want: "prefill at p, decode at d"},
+		{name: "granted at once", want: whole},
+		{name: "granted for later", script: []peer.Start{{Given: true, In: 300 * time.Millisecond}}, want: whole},
+		{name: "expired before use", script: []peer.Start{{Given: true, Until: time.Unix(0, 1)}}, want: "permit at p, " + whole},
+		{name: "none at the first prefill engine", script: []peer.Start{none}, want: "permit at p, " + whole},
+		{name: "none at the first decode engine", script: []peer.Start{{Given: true}, none},
+			want: "permit at p, prefill at p, permit at d, permit at d, decode at d"},
+		{name: "a full engine is called again", full: 1, want: whole + ", permit at d, decode at d"},
+		{name: "none at all", script: []peer.Start{none, none}, want: "permit at p, permit at p", code: result.Cold},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				settings := &config.Settings{Host: "h", Domain: "a", Region: "r"}
 				settings.SetDefaults()
 				b := blackboard.New(settings)
-				doc := strings.Replace(likelyDocument, `"slots"`, `"cold_per_s": 21, "slots"`, 1)
+				doc := strings.Replace(engineDocument, `"slots"`, `"cold_per_s": 21, "slots"`, 1)
 				if _, err := b.Config.Offer(1, []byte(doc)); err != nil {
 					t.Fatal(err)
 				}
-				s := &startScene{leavingScene: &leavingScene{t: t, board: b, left: map[string]bool{}, full: tc.full}, script: tc.script}
+				s := &coldScene{leavingScene: &leavingScene{t: t, board: b, hasLeft: map[string]bool{}, fullCalls: tc.full}, permits: tc.script}
 				s.publish()
 				if !tc.warm {
 					for _, name := range []string{"p1", "p2", "d1", "d2"} {
@@ -97,11 +97,11 @@
 				j := e.newJob(v, v.RouteFor("h", "/x"), headers{team: defaultTeam})
 				j.pool, j.prompted, j.tokens, j.work = "p", true, 100, &endpoint.Work{}
 				rec := httptest.NewRecorder()
-				j.out = newPassage(rec, writeError)
+				j.reply = newPassthrough(rec, writeError)
 				j.work.MaxTokens = 100
-				j.pick.Model, j.pick.Tokens, j.pick.MaxAnswer = "m", 100, 100
+				j.criteria.Model, j.criteria.Tokens, j.criteria.MaxAnswer = "m", 100, 100
 				refusal := e.run(t.Context(), j)
-				if got := s.calls(); got != tc.want {
+				if got := s.callLog(); got != tc.want {
 					t.Errorf("%s; want %s", got, tc.want)
 				}
 				if tc.code == 0 && refusal != nil {
@@ -115,22 +115,25 @@
 	}
 }
 
-// copyCalls is an engine that keeps copies.
-type copyCalls struct{ *startScene }
+// replicaEngine is an engine that keeps replicas.
+type replicaEngine struct{ *coldScene }
 
-func (copyCalls) Traits() endpoint.Traits { return endpoint.Traits{HangUpAborts: true, Copies: true} }
+func (replicaEngine) Traits() endpoint.Traits {
+	return endpoint.Traits{HangUpAborts: true, Copies: true}
+}
 
-// TestStartBeforeCall checks that nothing is asked for between the start at a cold engine and
-// the call that uses it: room for a copy of the answer is reserved before.
+// TestStartBeforeCall checks that nothing is requested between the permit for a cold engine
+// and the call that uses it, as the permit expires: memory for a replica of the answer is
+// reserved before.
 func TestStartBeforeCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		settings := &config.Settings{Host: "h", Domain: "a", Region: "r"}
 		settings.SetDefaults()
 		b := blackboard.New(settings)
-		if _, err := b.Config.Offer(1, []byte(strings.Replace(likelyDocument, `"slots"`, `"cold_per_s": 21, "copies": true, "slots"`, 1))); err != nil {
+		if _, err := b.Config.Offer(1, []byte(strings.Replace(engineDocument, `"slots"`, `"cold_per_s": 21, "copies": true, "slots"`, 1))); err != nil {
 			t.Fatal(err)
 		}
-		s := &startScene{leavingScene: &leavingScene{t: t, board: b, left: map[string]bool{}}}
+		s := &coldScene{leavingScene: &leavingScene{t: t, board: b, hasLeft: map[string]bool{}}}
 		s.publish()
 		for _, name := range []string{"d1", "d2"} {
 			b.Endpoints.Touch(route.Number(name), func(st *route.State) {
@@ -142,58 +145,58 @@
 				}
 			})
 		}
-		e := New(b, copyCalls{s}, s, report.NewRecorder(), zap.NewNop())
+		e := New(b, replicaEngine{s}, s, report.NewRecorder(), zap.NewNop())
 		v := b.Config.View()
 		j := e.newJob(v, v.RouteFor("h", "/x"), headers{team: defaultTeam})
 		j.pool, j.prompted, j.tokens, j.work = "p", true, 100, &endpoint.Work{}
-		j.out, j.work.MaxTokens = newPassage(httptest.NewRecorder(), writeError), 100
-		j.pick.Model, j.pick.Tokens, j.pick.MaxAnswer = "m", 100, 100
+		j.reply, j.work.MaxTokens = newPassthrough(httptest.NewRecorder(), writeError), 100
+		j.criteria.Model, j.criteria.Tokens, j.criteria.MaxAnswer = "m", 100, 100
 		if refusal := e.run(t.Context(), j); refusal != nil {
 			t.Error(refusal)
 		}
-		if got, want := strings.Join(s.order[max(0, len(s.order)-3):], ", "), "reserve d2, start at d1, write at d1"; got != want {
-			t.Errorf("at last %s; want %s", got, want)
+		if got, want := strings.Join(s.callOrder[max(0, len(s.callOrder)-3):], ", "), "reserve d2, permit at d1, decode at d1"; got != want {
+			t.Errorf("last calls %s; want %s", got, want)
 		}
 	})
 }
 
-// TestLeftBeforeStart checks that a request which waits for a start at an endpoint that
-// leaves meanwhile goes elsewhere, before its prompt is read and before its answer is written.
+// TestLeftBeforeStart checks that a request which waits for a permit at an endpoint that
+// leaves in the meantime goes elsewhere, before its prefill and before its decode call.
 func TestLeftBeforeStart(t *testing.T) {
 	later := peer.Start{Given: true, In: 300 * time.Millisecond}
 	for _, tc := range []struct {
 		name   string
-		before int // calls that have had their start
+		before int // calls that have got their permit
 		script []peer.Start
 		want   string
 	}{
-		{"before it is read", 0, []peer.Start{later}, "start at p, start at p, read at p, start at d, write at d"},
-		{"before it is written", 1, []peer.Start{{Given: true}, later}, "start at p, read at p, start at d, start at d, write at d"},
+		{"before the prefill", 0, []peer.Start{later}, "permit at p, permit at p, prefill at p, permit at d, decode at d"},
+		{"before the decode call", 1, []peer.Start{{Given: true}, later}, "permit at p, prefill at p, permit at d, permit at d, decode at d"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				settings := &config.Settings{Host: "h", Domain: "a", Region: "r"}
 				settings.SetDefaults()
 				b := blackboard.New(settings)
-				if _, err := b.Config.Offer(1, []byte(strings.Replace(likelyDocument, `"slots"`, `"cold_per_s": 21, "slots"`, 1))); err != nil {
+				if _, err := b.Config.Offer(1, []byte(strings.Replace(engineDocument, `"slots"`, `"cold_per_s": 21, "slots"`, 1))); err != nil {
 					t.Fatal(err)
 				}
-				s := &startScene{leavingScene: &leavingScene{t: t, board: b, left: map[string]bool{}, leaves: map[string]bool{}}, script: tc.script, whole: tc.before}
+				s := &coldScene{leavingScene: &leavingScene{t: t, board: b, hasLeft: map[string]bool{}, leaveAt: map[string]bool{}}, permits: tc.script, permitsBefore: tc.before}
 				s.publish()
 				for _, name := range []string{"p1", "p2", "d1", "d2"} {
 					b.Endpoints.Touch(route.Number(name), func(st *route.State) { st.MaybeCold = time.Now().Add(time.Hour) })
 				}
-				s.leaves[atStart] = true
+				s.leaveAt[atPermit] = true
 				e := New(b, s, s, report.NewRecorder(), zap.NewNop())
 				v := b.Config.View()
 				j := e.newJob(v, v.RouteFor("h", "/x"), headers{team: defaultTeam})
 				j.pool, j.prompted, j.tokens, j.work = "p", true, 100, &endpoint.Work{}
-				j.out, j.work.MaxTokens = newPassage(httptest.NewRecorder(), writeError), 100
-				j.pick.Model, j.pick.Tokens, j.pick.MaxAnswer = "m", 100, 100
+				j.reply, j.work.MaxTokens = newPassthrough(httptest.NewRecorder(), writeError), 100
+				j.criteria.Model, j.criteria.Tokens, j.criteria.MaxAnswer = "m", 100, 100
 				if refusal := e.run(t.Context(), j); refusal != nil {
 					t.Error(refusal)
 				}
-				if got := s.calls(); got != tc.want {
+				if got := s.callLog(); got != tc.want {
 					t.Errorf("%s; want %s", got, tc.want)
 				}
 			})
@@ -201,18 +204,18 @@
 	}
 }
 
-// serviceCalls is a plain service that answers.
-type serviceCalls struct {
-	*startScene
+// serviceEngine is a plain service that answers.
+type serviceEngine struct {
+	*coldScene
 }
 
-func (s serviceCalls) Service(_ context.Context, c endpoint.Call, _ *endpoint.Work) (*endpoint.Answer, error) {
-	s.order = append(s.order, "call "+c.Name)
+func (s serviceEngine) Service(_ context.Context, c endpoint.Call, _ *endpoint.Work) (*endpoint.Answer, error) {
+	s.callOrder = append(s.callOrder, "call "+c.Name)
 	return &endpoint.Answer{AnswerHead: endpoint.AnswerHead{Status: 200}, Body: httptest.NewRequest("GET", "/", strings.NewReader("x")).Body}, nil
 }
 
-// TestServiceStarts checks the same of calls to a plain service, the only endpoint of which
-// is cold.
+// TestServiceStarts does the same as TestStarts for a plain service with a single endpoint,
+// which is cold.
 func TestServiceStarts(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -220,10 +223,10 @@
 		want   string
 		code   result.Code
 	}{
-		{"given", nil, "start at s, call s", 0},
-		{"none", []peer.Start{{In: 700 * time.Millisecond}}, "start at s", result.Cold},
-		{"none yet", []peer.Start{{In: 300 * time.Millisecond}}, "start at s, start at s, call s", 0},
-		{"none yet, and none then", []peer.Start{{In: 300 * time.Millisecond}, {In: 300 * time.Millisecond}}, "start at s, start at s", result.Cold},
+		{"given", nil, "permit at s, call s", 0},
+		{"none", []peer.Start{{In: 700 * time.Millisecond}}, "permit at s", result.Cold},
+		{"none yet", []peer.Start{{In: 300 * time.Millisecond}}, "permit at s, permit at s, call s", 0},
+		{"none yet, and none then", []peer.Start{{In: 300 * time.Millisecond}, {In: 300 * time.Millisecond}}, "permit at s, permit at s", result.Cold},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -240,12 +243,12 @@
 				}
 				v := b.Config.View()
 				b.Endpoints.Fit(v)
-				s := &startScene{leavingScene: &leavingScene{t: t, board: b}, script: tc.script}
-				e := New(b, serviceCalls{s}, s, report.NewRecorder(), zap.NewNop())
+				s := &coldScene{leavingScene: &leavingScene{t: t, board: b}, permits: tc.script}
+				e := New(b, serviceEngine{s}, s, report.NewRecorder(), zap.NewNop())
 				j := e.newJob(v, v.RouteFor("h", "/x"), headers{team: defaultTeam})
-				j.pool, j.work, j.out = "web", &endpoint.Work{}, newPassage(httptest.NewRecorder(), writeError)
+				j.pool, j.work, j.reply = "web", &endpoint.Work{}, newPassthrough(httptest.NewRecorder(), writeError)
 				refusal := e.runService(t.Context(), j)
-				if got := s.calls(); got != tc.want {
+				if got := s.callLog(); got != tc.want {
 					t.Errorf("%s; want %s", got, tc.want)
 				}
 				if tc.code == 0 && refusal != nil || tc.code != 0 && (refusal == nil || refusal.Code != tc.code || !refusal.NotRun()) {
--- a/entry/suspect.go
+++ b/entry/suspect.go
@@ -15,43 +15,45 @@
 	"github.com/embercove/embercove/route"
 )
 
-// A request under which endpoints ended is sent to another only by a trial, and to none once
-// it is blamed (package quarantine). Every call to an endpoint that runs a request is made
-// after mayRunAt, between beginRun and endRun.
+// A request under which endpoints crashed is sent to another endpoint only with a probe,
+// and to none once the crashes are attributed to it (package quarantine). Every call to an
+// endpoint that runs a request is made after acquireProbeAt, between beginRun and endRun.
 
 const (
-	// turnWait is how long a request that holds nothing yet waits for its trial: others of
-	// the same, one after the other, are over or settled by then.
-	turnWait = 3 * time.Second
-	// heldWait is the same where an engine's turn or memory is held for the request.
-	heldWait = 200 * time.Millisecond
-	// trialBack is when a request is to come back that had no trial in time.
-	trialBack = time.Second
-	// trialAsk is the time between the first two asks for a trial; it doubles up to
-	// trialAskMost, as hundreds may wait for the same one.
-	trialAsk     = 50 * time.Millisecond
-	trialAskMost = 400 * time.Millisecond
-	// mostEndsOfAttempt is how many endpoints may end under one attempt of a caller: it is
-	// sent to one further endpoint, as most that are in progress where one ends are
-	// innocent. What ended two waits for its caller to come again.
-	mostEndsOfAttempt = 2
+	// maxIdleWait is how long a request that holds nothing yet waits for its probe. Other
+	// probes of the same request, one after the other, have ended or settled by then.
+	maxIdleWait = 3 * time.Second
+	// holdingWait is the same for a request that holds an engine's slot or memory.
+	holdingWait = 200 * time.Millisecond
+	// probeRetryAfter is the retry time of a request that had no probe in time.
+	probeRetryAfter = time.Second
+	// probePollStart is the time between the first two requests for a probe. It doubles up
+	// to probePollMax, as hundreds may wait for the same one.
+	probePollStart = 50 * time.Millisecond
+	probePollMax   = 400 * time.Millisecond
+	// maxCrashesPerAttempt is how many endpoints may crash under one attempt of a caller. A
+	// request is sent to one further endpoint, as most requests in progress at a crash are
+	// innocent. One that was in progress at two crashes waits until its caller sends it
+	// again.
+	maxCrashesPerAttempt = 2
 )
 
-// mayRun returns nil if a request may be sent to some endpoint, for which a suspect that holds
-// nothing waits. A request that nobody suspects costs no message.
-func (e *Entry) mayRun(ctx context.Context, j *job) *result.Error {
-	_, refusal := e.ask(ctx, j, quarantine.Ask{Stage: quarantine.Running, Room: e.roomFor(j)}, j.patientTurn())
+// acquireProbe returns nil if a request may be sent to some endpoint. A suspected request,
+// which holds nothing yet, waits for that. Requests that aren't suspected cost no message.
+func (e *Entry) acquireProbe(ctx context.Context, j *job) *result.Error {
+	_, refusal := e.requestProbe(ctx, j, quarantine.Ask{Stage: quarantine.Running, Room: e.runCapacity(j)}, j.idleWait())
 	return refusal
 }
 
-// mayRunAt returns nil if a request may be sent to an endpoint now; elsewhere says that it
-// may be, but not to this one.
-func (e *Entry) mayRunAt(ctx context.Context, j *job, spec *config.Endpoint, s quarantine.Stage) (elsewhere bool, refusal *result.Error) {
-	return e.ask(ctx, j, quarantine.Ask{Stage: s, Endpoint: route.Number(spec.Name)}, heldWait)
+// acquireProbeAt returns nil if a request may be sent to an endpoint now; elsewhere says
+// that it may be sent to another one, but not to this one.
+func (e *Entry) acquireProbeAt(ctx context.Context, j *job, spec *config.Endpoint, s quarantine.Stage) (elsewhere bool, refusal *result.Error) {
+	return e.requestProbe(ctx, j, quarantine.Ask{Stage: s, Endpoint: route.Number(spec.Name)}, holdingWait)
 }
 
-// roomFor returns how many endpoints may run a request, where anybody is suspected.
-func (e *Entry) roomFor(j *job) (n int) {
+// runCapacity returns how many endpoints may run a request, or 0 if no request is
+// suspected.
+func (e *Entry) runCapacity(j *job) (n int) {
 	if e.board.Suspects.Quiet() {
 		return 0
 	}
@@ -63,139 +65,143 @@
 	return max(1, n)
 }
 
-// mayGoTo reports whether a request may be sent to an endpoint now.
-func (e *Entry) mayGoTo(ctx context.Context, j *job, spec *config.Endpoint) bool {
-	elsewhere, refusal := e.mayRunAt(ctx, j, spec, quarantine.Running)
+// canSendTo reports whether a request may be sent to an endpoint now.
+func (e *Entry) canSendTo(ctx context.Context, j *job, spec *config.Endpoint) bool {
+	elsewhere, refusal := e.acquireProbeAt(ctx, j, spec, quarantine.Running)
 	return !elsewhere && refusal == nil
 }
 
-// orBarred returns a refusal, or where there is none the failure of a try at an endpoint where
-// another suspect runs.
-func orBarred(refusal *result.Error, spec *config.Endpoint) error {
+// refusalOrBarred returns the refusal or, if it is nil, the failure of a try at an endpoint
+// that runs another suspected request.
+func refusalOrBarred(refusal *result.Error, spec *config.Endpoint) error {
 	if refusal != nil {
 		return refusal
 	}
-	return barredSince(spec, route.BarTrial)
+	return barredFailure(spec, route.BarTrial)
 }
 
-// waitsOn is what becomes of a try that gives back what it holds over a refusal at its decode
-// engine. One that had no trial in time tries again, as it may wait for longer while it holds
-// nothing: of many requests sent alike, while engines end before the first answer, the last
-// would be refused.
-func waitsOn(refusal *result.Error, spec *config.Endpoint) error {
+// probeWaitFailure is the failure of a try that releases what it holds after a refusal at
+// its decode engine. If it had no probe in time it is retried, as it may wait longer while
+// it holds nothing: when many equal requests arrive while engines crash before the first
+// answer, the last ones would be refused otherwise.
+func probeWaitFailure(refusal *result.Error, spec *config.Endpoint) error {
 	if refusal.Code == result.UnderTrial {
-		return barredSince(spec, route.BarTrial)
+		return barredFailure(spec, route.BarTrial)
 	}
 	return refusal
 }
 
-// closedAgain is when engines are looked at again at each of which another suspect ran.
-const closedAgain = 50 * time.Millisecond
+// decodeRecheckDelay is the wait before decode engines are checked again if each of them
+// was running another suspected request.
+const decodeRecheckDelay = 50 * time.Millisecond
 
-// lookAgain finds a decode engine for a result that is still kept, after another suspect ran at
-// one after the other. They were left out as they were closed just then, which they are for the
-// time of an answer only: left out for good, requests were refused beside free engines.
-func (e *Entry) lookAgain(ctx context.Context, j *job, p *plan, lapses time.Time) {
-	if time.Until(lapses) < lastMoment+closedAgain || !wait.For(ctx, closedAgain) {
+// recheckDecode looks for a decode engine once more for a result that is still kept, after
+// each engine in turn was running another suspected request. These engines were excluded
+// although they are busy only for the time of an answer. Left excluded, requests were
+// refused although engines were free.
+func (e *Entry) recheckDecode(ctx context.Context, j *job, p *plan, expires time.Time) {
+	if time.Until(expires) < minResultLeft+decodeRecheckDelay || !wait.For(ctx, decodeRecheckDelay) {
 		return
 	}
-	e.board.Requests.Close(p.decodeBy)
-	j.pick.Exclude = p.open
+	e.board.Requests.Close(p.decodeAttempt)
+	j.criteria.Exclude = p.initialExclude
 	e.findDecode(ctx, j, p)
 }
 
-// closedInTurn is what becomes of a try whose result lapsed so, after it has given back what it
-// held: it is tried again.
-func closedInTurn(j *job, p *plan) error {
-	j.pick.Exclude = p.open
-	r := barredSince(p.lastDec, route.BarTrial)
-	r.stay = true
+// allDecodesBusy is the failure of a try whose result expired that way, after it has
+// released what it held. It is tried again.
+func allDecodesBusy(j *job, p *plan) error {
+	j.criteria.Exclude = p.initialExclude
+	r := barredFailure(p.lastDecodeSpec, route.BarTrial)
+	r.sameEndpoint = true
 	return r
 }
 
-// ask is mayRun and mayRunAt; a says all of what is asked but whose it is.
-func (e *Entry) ask(ctx context.Context, j *job, a quarantine.Ask, most time.Duration) (elsewhere bool, refusal *result.Error) {
+// requestProbe implements acquireProbe and acquireProbeAt. The caller sets all of a but the
+// request and its holder.
+func (e *Entry) requestProbe(ctx context.Context, j *job, a quarantine.Ask, most time.Duration) (elsewhere bool, refusal *result.Error) {
 	if e.board.Suspects.Quiet() {
 		return false, nil
 	}
-	again := trialAsk
-	for end := time.Now().Add(most); ; again = min(2*again, trialAskMost) {
-		verdict, rest := e.board.Suspects.Judge(j.asks, clock.Now())
+	again := probePollStart
+	for end := time.Now().Add(most); ; again = min(2*again, probePollMax) {
+		verdict, rest := e.board.Suspects.Judge(j.fingerprint, clock.Now())
 		if verdict == quarantine.Free {
 			return false, nil
 		}
-		if refusal := e.refused(j, verdict, rest); refusal != nil {
+		if refusal := e.verdictRefusal(j, verdict, rest); refusal != nil {
 			return false, refusal
 		}
-		a.Request, a.Holder = j.asks, j.holder()
+		a.Request, a.Holder = j.fingerprint, j.probeHolder()
 		reply := e.owners.Trial(ctx, a)
-		j.trial = j.trial || reply.Granted
-		j.pick.Trial = j.trial
+		j.probing = j.probing || reply.Granted
+		j.criteria.Trial = j.probing
 		if reply.Granted || reply.Elsewhere {
 			return reply.Elsewhere, nil
 		}
 		asked := time.Now()
 		if end.Sub(asked) < again || !wait.For(ctx, again/2+rand.N(again)) {
-			return false, underTrial(j).After(trialBack)
+			return false, underProbe(j).After(probeRetryAfter)
 		}
-		j.tried += time.Since(asked)
+		j.probeWaited += time.Since(asked)
 	}
 }
 
-// blamed returns the refusal of a request that isn't sent to any endpoint now.
-func (e *Entry) blamed(j *job) *result.Error {
+// quarantineRefusal returns the refusal of a request that isn't sent to any endpoint now,
+// or nil.
+func (e *Entry) quarantineRefusal(j *job) *result.Error {
 	if e.board.Suspects.Quiet() {
 		return nil
 	}
-	verdict, rest := e.board.Suspects.Judge(j.asks, clock.Now())
-	return e.refused(j, verdict, rest)
+	verdict, rest := e.board.Suspects.Judge(j.fingerprint, clock.Now())
+	return e.verdictRefusal(j, verdict, rest)
 }
 
-// refused returns the refusal that a verdict comes to, if it does. That of a request that is
-// blamed names no time to come back: callers are to stop sending it.
-func (e *Entry) refused(j *job, v quarantine.Verdict, rest time.Duration) *result.Error {
+// verdictRefusal returns the refusal for a verdict, or nil. A request that crashes are
+// attributed to gets no retry time: callers should stop sending it.
+func (e *Entry) verdictRefusal(j *job, v quarantine.Verdict, rest time.Duration) *result.Error {
 	switch v {
 	case quarantine.Blamed:
 		e.board.Suspects.NoteRefused()
-		return result.Errorf(result.EndsEndpoints, "endpoints ended as they ran this request (%s)", j.asks)
+		return result.Errorf(result.EndsEndpoints, "endpoints crashed while they ran this request (%s)", j.fingerprint)
 	case quarantine.Resting:
-		return underTrial(j).After(rest)
+		return underProbe(j).After(rest)
 	}
 	return nil
 }
 
-// underTrial is the refusal of a request that can't be tried yet.
-func underTrial(j *job) *result.Error {
-	return result.Errorf(result.UnderTrial, "an endpoint ended as it ran this request (%s), and it is tried again later", j.asks)
+// underProbe is the refusal of a request that can't be probed yet.
+func underProbe(j *job) *result.Error {
+	return result.Errorf(result.UnderTrial, "an endpoint crashed while it ran this request (%s), and it can't be tried again yet", j.fingerprint)
 }
 
-// patientTurn returns how long a job that holds nothing waits for its trial.
-func (j *job) patientTurn() time.Duration {
+// idleWait returns how long a job that holds nothing waits for its probe.
+func (j *job) idleWait() time.Duration {
 	if j.deadline == 0 {
-		return turnWait
+		return maxIdleWait
 	}
-	return min(turnWait, time.Until(j.came.Add(j.deadline))/2)
+	return min(maxIdleWait, time.Until(j.arrived.Add(j.deadline))/2)
 }
 
-// holder names the job where trials are given out.
-func (j *job) holder() uint64 {
+// probeHolder identifies the job as the holder of a probe.
+func (j *job) probeHolder() uint64 {
 	return xxhash.Sum64String(j.id.String())
 }
 
-// settle lets others of the same request run beside a job whose answer goes on well.
-func (e *Entry) settle(j *job) {
-	if !j.trial || j.settled {
+// settleProbe lets equal requests run beside a job whose answer progresses well.
+func (e *Entry) settleProbe(j *job) {
+	if !j.probing || j.settled {
 		return
 	}
 	j.settled = true
-	go e.owners.TrialDone(j.asks, j.holder(), true)
+	go e.owners.TrialDone(j.fingerprint, j.probeHolder(), true)
 }
 
-// endTrial ends the job's trial, if it has one.
-func (e *Entry) endTrial(j *job) {
-	if !j.trial {
+// endProbe ends the job's probe, if it has one.
+func (e *Entry) endProbe(j *job) {
+	if !j.probing {
 		return
 	}
-	j.trial, j.settled, j.pick.Trial = false, false, false
-	go e.owners.TrialDone(j.asks, j.holder(), false)
+	j.probing, j.settled, j.criteria.Trial = false, false, false
+	go e.owners.TrialDone(j.fingerprint, j.probeHolder(), false)
 }
--- a/entry/team.go
+++ b/entry/team.go
@@ -9,26 +9,26 @@
 	"github.com/embercove/embercove/result"
 )
 
-// Who a request belongs to. Keys are compared by their digests, and neither a key
-// nor a part of one goes into an error, a log line or a message.
+// This file finds the team of a request. Keys are compared by their digests. No key, or
+// part of one, goes into an error, a log line or a message.
 
-// defaultTeam is the team of calls that no team has to answer for: of protocols
-// that know no teams, under a document without keys, or on a public route.
+// defaultTeam is the team of calls that need none: of protocols without teams, under a
+// document without keys, or on a public route.
 var defaultTeam = &config.Team{Name: "default", Weight: 1}
 
-// maxCredential bounds a key, in bytes. A longer one is no key of any team; it is
-// refused before it is hashed.
+// maxCredential bounds the length of a key, in bytes. A longer one can't be any team's key;
+// it is refused before it is hashed.
 const maxCredential = 4096
 
-// rank returns the priority of a team's requests on a route.
-func rank(t *config.Team, r *config.RouteView) int {
+// teamPriority returns the priority of a team's requests on a route.
+func teamPriority(t *config.Team, r *config.RouteView) int {
 	if t.Priority != nil {
 		return *t.Priority
 	}
 	return r.Priority
 }
 
-// callTeam returns the team of a call whose protocol names teams by key alone.
+// callTeam returns the team of a call whose protocol identifies teams only by key.
 func callTeam(v *config.View, r *config.RouteView, keys []string) (*config.Team, *result.Error) {
 	if !v.Keyed() {
 		return defaultTeam, nil
@@ -52,19 +52,19 @@
 	}
 	t := v.TeamOfKey(keys[0])
 	if t == nil {
-		return nil, result.Errorf(result.BadCredentials, "the key is not one of revision %d", v.Revision)
+		return nil, result.Errorf(result.BadCredentials, "revision %d holds no such key", v.Revision)
 	}
 	return t, nil
 }
 
-// apiTeam returns the team of a call of the project's own interface: that of its
-// bearer token, which is a key, or the one that it names, if that one has no keys.
+// apiTeam returns the team of a call to embercove's own interface: that of its bearer
+// token, which is a key, or the team named in a header, if that team has no keys.
 func apiTeam(v *config.View, h http.Header) (*config.Team, *result.Error) {
 	name := h.Get(HeaderTeam)
 	if tokens := bearerTokens(h); len(tokens) > 0 && v.Keyed() {
 		t, refusal := keyTeam(v, tokens)
 		if refusal == nil && name != "" && name != t.Name {
-			return nil, result.Errorf(result.BadCredentials, "%s = %q: the key is another team's", HeaderTeam, name)
+			return nil, result.Errorf(result.BadCredentials, "%s = %q: the key belongs to another team", HeaderTeam, name)
 		}
 		return t, refusal
 	}
@@ -75,12 +75,12 @@
 	case t == nil:
 		return nil, result.Errorf(result.UnknownTeam, "%s = %q: not a configured team", HeaderTeam, name)
 	case len(t.KeysSHA256) > 0:
-		return nil, result.Errorf(result.BadCredentials, "Authorization: team %s asks for a key", t.Name)
+		return nil, result.Errorf(result.BadCredentials, "Authorization: team %s requires a key", t.Name)
 	}
 	return t, nil
 }
 
-// allKeyed reports whether every team has keys, so that none is named otherwise.
+// allKeyed reports whether every team has keys, so that none can be named by header.
 func allKeyed(v *config.View) bool {
 	return !slices.ContainsFunc(v.Doc.Teams, func(t config.Team) bool { return len(t.KeysSHA256) == 0 })
 }
--- a/entry/turn.go
+++ b/entry/turn.go
@@ -14,55 +14,55 @@
 	"github.com/embercove/embercove/route"
 )
 
-// turnLater gives the turn back if the decode engine has room only later, and
-// waits for another, so that the prefill engine's owner knows when it really
-// gets the prompt. The room stays reserved, unless there is no such turn.
-func (e *Entry) turnLater(ctx context.Context, j *job, p *plan) *result.Error {
-	if p.early() <= shortWait {
+// requeueLater releases the prefill slot if the decode engine has memory only later, and
+// waits for a later slot, so that the prefill engine's owner knows when the prompt really
+// arrives. The memory stays reserved, unless there is no such slot.
+func (e *Entry) requeueLater(ctx context.Context, j *job, p *plan) *result.Error {
+	if p.prefillDelay() <= maxUnreportedWait {
 		return nil
 	}
-	e.returnTurn(p)
-	refusal := e.enqueue(ctx, j, p, p.start)
+	e.releasePrefill(p)
+	refusal := e.enqueue(ctx, j, p, p.transferStart)
 	if refusal != nil {
 		e.releaseDecode(j, p, owner.GivenUp)
 	}
 	return refusal
 }
 
-// shortWait is how long a prompt may be held back without its prefill engine's
-// owner being told: what the owner is ahead of the engine in any case.
-const shortWait = 60 * time.Millisecond
+// maxUnreportedWait is how long a prompt may be held back without a report to its prefill
+// engine's owner, which grants slots about that much ahead of the engine anyway.
+const maxUnreportedWait = 60 * time.Millisecond
 
-// returnTurn returns the turn at a prefill engine that was called.
-func (e *Entry) returnTurn(p *plan) {
-	e.owners.Release(p.pre, owner.Release{Attempt: p.readBy, Endpoint: route.Number(p.pre.Name), Outcome: owner.GivenUp})
+// releasePrefill releases the slot at a prefill engine.
+func (e *Entry) releasePrefill(p *plan) {
+	e.owners.Release(p.prefillSpec, owner.Release{Attempt: p.prefillAttempt, Endpoint: route.Number(p.prefillSpec.Name), Outcome: owner.GivenUp})
 }
 
-// enqueue waits for the prefill engine's turn.
+// enqueue waits for a slot at the prefill engine.
 func (e *Entry) enqueue(ctx context.Context, j *job, p *plan, notBefore time.Time) *result.Error {
 	e.setPhase(j, blackboard.PhaseQueue, nil)
-	p.readBy = e.board.Requests.Open(j.id)
-	defer e.board.Requests.Close(p.readBy)
-	a := owner.EnqueueArgs{Attempt: p.readBy, Endpoint: route.Number(p.pre.Name), Tokens: j.tokens, Head: j.pick.Head,
-		HasHead: j.pick.HasHead, Slack: ms(j.slack() - p.Move - j.away.detour), NotYet: ms(time.Until(notBefore)),
-		Team: j.teamNum, Priority: j.priority, Abroad: j.abroad()}
-	if p.pre.Registered {
+	p.prefillAttempt = e.board.Requests.Open(j.id)
+	defer e.board.Requests.Close(p.prefillAttempt)
+	a := owner.EnqueueArgs{Attempt: p.prefillAttempt, Endpoint: route.Number(p.prefillSpec.Name), Tokens: j.tokens, Head: j.criteria.Head,
+		HasHead: j.criteria.HasHead, Slack: ms(j.slack() - p.Move - j.redirect.detour), NotYet: ms(time.Until(notBefore)),
+		Team: j.teamNumber, Priority: j.priority, Abroad: j.redirected()}
+	if p.prefillSpec.Registered {
 		a.Expect = 1 + ms(p.Wait) + max(0, a.NotYet)
 	}
-	reply, err := e.owners.Enqueue(ctx, p.pre, a)
+	reply, err := e.owners.Enqueue(ctx, p.prefillSpec, a)
 	switch {
-	case err != nil && j.abroad() && ctx.Err() == nil: // nothing is known of what waits there
-		e.board.Regions.Missed(config.NameNumber(j.away.region), time.Now())
-		return result.Errorf(result.TooLate, "the owner of %s is out of reach", p.pre.Name).After(time.Second)
+	case err != nil && j.redirected() && ctx.Err() == nil: // the queue of a remote engine is not known
+		e.board.Regions.Missed(config.NameNumber(j.redirect.region), time.Now())
+		return result.Errorf(result.TooLate, "the owner of %s is unreachable", p.prefillSpec.Name).After(time.Second)
 	case err != nil && errors.Is(err, peer.ErrOutOfReach) && ctx.Err() == nil:
 		if p.Wait+p.Read+p.Move > j.slack() {
-			return result.Errorf(result.TooLate, "by the last report of %s the prompt would be read too late", p.pre.Name).After(p.Wait + p.Read)
+			return result.Errorf(result.TooLate, "by the last report of %s the prefill would end too late", p.prefillSpec.Name).After(p.Wait + p.Read)
 		}
 		return nil
 	case err != nil:
 		return asResult(err)
 	case reply.Code != result.OK:
-		return result.Errorf(reply.Code, "%s can't read the prompt in time", p.pre.Name).After(time.Duration(reply.Retry) * time.Millisecond)
+		return result.Errorf(reply.Code, "%s can't prefill the prompt in time", p.prefillSpec.Name).After(time.Duration(reply.Retry) * time.Millisecond)
 	}
 	return nil
 }
--- a/entry/unreserved.go
+++ b/entry/unreserved.go
@@ -8,46 +8,47 @@
 	"github.com/embercove/embercove/route"
 )
 
-// tryUnreserved is a try by one of the baselines: the prompt is read at once
-// wherever the baseline says, and a decode engine is looked for afterwards.
+// tryUnreserved is a try under one of the baseline policies: the prompt is prefilled at
+// once at the endpoint that the policy selects, and a decode engine is looked for
+// afterwards.
 func (e *Entry) tryUnreserved(ctx context.Context, j *job) error {
 	p := &plan{}
-	p.pre = e.one(j, prefillList)
-	if p.pre == nil {
-		return e.nowhere(j, "prefill endpoint", prefillList)
+	p.prefillSpec = e.chooseOne(j, prefillStates)
+	if p.prefillSpec == nil {
+		return e.noneOpen(j, "prefill endpoint", prefillStates)
 	}
-	p.Read = time.Duration(float64(j.tokens) / p.pre.TokensPerSecond * float64(time.Second))
-	kv, err := e.read(ctx, j, p)
+	p.Read = time.Duration(float64(j.tokens) / p.prefillSpec.TokensPerSecond * float64(time.Second))
+	kv, err := e.prefill(ctx, j, p)
 	if err != nil {
 		return err
 	}
-	p.dec = e.one(j, decodeList)
-	if p.dec == nil {
-		e.abort(p.pre, p.readBy)
-		j.waste += p.cost
-		return e.nowhere(j, "decode endpoint", decodeList)
+	p.decodeSpec = e.chooseOne(j, decodeStates)
+	if p.decodeSpec == nil {
+		e.abort(p.prefillSpec, p.prefillAttempt)
+		j.wastedTokens += p.prefilledTokens
+		return e.noneOpen(j, "decode endpoint", decodeStates)
 	}
-	p.Move = route.LinkTime(p.dec, kv.Bytes) * baselineMoves
-	p.decodeBy = e.board.Requests.Open(j.id)
-	return e.write(ctx, j, p, kv)
+	p.Move = route.LinkTime(p.decodeSpec, kv.Bytes) * baselineTransfers
+	p.decodeAttempt = e.board.Requests.Open(j.id)
+	return e.decode(ctx, j, p, kv)
 }
 
-// baselineMoves is how many transfers a baseline expects to share a link, as
-// it paces none.
-const baselineMoves = 4
+// baselineTransfers is how many transfers a baseline policy assumes to share a link, as it
+// schedules none.
+const baselineTransfers = 4
 
-// one chooses an endpoint as the baseline does, of the view in use; nil: none is open. The
-// view that the request came by may have others at the same places of its list.
-func (e *Entry) one(j *job, list func(g *route.Group) []*route.State) (spec *config.Endpoint) {
-	turn := e.turn.Add(1)
-	j.pick.Now, j.pick.Seed = time.Now(), j.pick.Seed*0x9e3779b97f4a7c15+turn
+// chooseOne selects an endpoint by the baseline policy, from the view in use; nil: none is
+// open. The view that the request was admitted under may list endpoints at other positions.
+func (e *Entry) chooseOne(j *job, list func(g *route.Group) []*route.State) (spec *config.Endpoint) {
+	turn := e.sequence.Add(1)
+	j.criteria.Now, j.criteria.Seed = time.Now(), j.criteria.Seed*0x9e3779b97f4a7c15+turn
 	e.board.Endpoints.Read(func(fleet *route.Fleet) {
 		v := fleet.View
-		if j.pick.Group = j.group(fleet); j.pick.Group == nil {
+		if j.criteria.Group = j.group(fleet); j.criteria.Group == nil {
 			return
 		}
-		e.bind(v, j, &j.pick)
-		if s := route.PickOne(list(j.pick.Group), v.Doc.Policy.Mode, turn, &j.pick); s != nil {
+		e.bindRegions(v, j, &j.criteria)
+		if s := route.PickOne(list(j.criteria.Group), v.Doc.Policy.Mode, turn, &j.criteria); s != nil {
 			spec = s.Spec
 		}
 	})
--- a/entry/unreserved_test.go
+++ b/entry/unreserved_test.go
@@ -11,10 +11,10 @@
 	"github.com/embercove/embercove/result"
 )
 
-// TestUnreservedRoster has a baseline choose endpoints after the roster has changed since
-// the request came, so that they have other places in the list: what is chosen by the view
-// in use is called, and nothing in a failure domain that is emptied by it. Where all are
-// emptied the request is refused as such.
+// TestUnreservedRoster has a baseline policy choose endpoints after the roster changed
+// since the request arrived, so that they are at other positions in the list. The endpoint
+// chosen from the view in use must be called, and none in a failure domain that is
+// evacuated in it. If all are evacuated the request is refused with that code.
 func TestUnreservedRoster(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -22,15 +22,15 @@
 		calls   []string
 		code    result.Code
 	}{
-		{"one of two", []string{"b"}, []string{"read at prefill-0", "write at decode-2"}, result.OK},
+		{"one of two", []string{"b"}, []string{"prefill at prefill-0", "decode at decode-2"}, result.OK},
 		{"both", []string{"a", "b"}, nil, result.Evacuated},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				e, j := placing(t, new(stubOwners), 2, 1)
-				s := &leavingScene{t: t, board: e.board, left: map[string]bool{"prefill-1": true}}
-				e.engine, j.out = s, newPassage(httptest.NewRecorder(), writeError)
+				e, j := newPlacement(t, new(stubOwners), 2, 1)
+				s := &leavingScene{t: t, board: e.board, hasLeft: map[string]bool{"prefill-1": true}}
+				e.engine, j.reply = s, newPassthrough(httptest.NewRecorder(), writeError)
 				if _, err := e.board.Config.Offer(2, []byte(twoDomains)); err != nil {
 					t.Fatal(err)
 				}
@@ -50,8 +50,8 @@
 				}
 				e.board.Endpoints.Fit(e.board.Config.View())
 				err := e.tryUnreserved(t.Context(), j)
-				if !slices.Equal(s.order, tc.calls) {
-					t.Errorf("called %v, want %v (%v)", s.order, tc.calls, err)
+				if !slices.Equal(s.callOrder, tc.calls) {
+					t.Errorf("called %v, want %v (%v)", s.callOrder, tc.calls, err)
 				}
 				if (err == nil) != (tc.code == result.OK) || err != nil && asResult(err).Code != tc.code {
 					t.Errorf("%v, want code %v", err, tc.code)
--- a/entry/watchdog_test.go
+++ b/entry/watchdog_test.go
@@ -12,8 +12,8 @@
 	"github.com/embercove/embercove/endpoint"
 )
 
-// TestWatchdogStops checks that no engine is asked for a call that is over, also where
-// the call ends while its engine is being asked.
+// TestWatchdogStops checks that no engine is asked whether it is alive for a call that has
+// ended, even if the call ends while its engine is being asked.
 func TestWatchdogStops(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -33,7 +33,7 @@
 					time.Sleep(50 * time.Millisecond)
 					return true
 				})
-				w.asks.Store(true)
+				w.checksLiveness.Store(true)
 				time.Sleep(tc.ends)
 				w.stop()
 				time.Sleep(time.Minute)
@@ -45,29 +45,29 @@
 	}
 }
 
-// askedEngine is an engine whose reports take some time each, also beyond the time that
-// they are waited for: so it looks to a host that is held up.
-type askedEngine struct {
+// slowReportEngine is an engine whose reports take a given time each, also beyond the
+// report timeout. This is what a host that is held up observes.
+type slowReportEngine struct {
 	endpoint.Engine
-	takes []time.Duration // of one ask after the other; the last one's of all further ones
-	asked int
-	born  uint64 // of the process that answers
+	reportTimes []time.Duration // of consecutive reports; the last one applies to all further ones
+	asked       int
+	started     uint64 // of the process that answers
 }
 
-func (a *askedEngine) State(ctx context.Context, _ string) (*endpoint.State, error) {
-	took := a.takes[min(a.asked, len(a.takes)-1)]
+func (a *slowReportEngine) State(ctx context.Context, _ string) (*endpoint.State, error) {
+	took := a.reportTimes[min(a.asked, len(a.reportTimes)-1)]
 	a.asked++
 	time.Sleep(took)
 	if ctx.Err() != nil {
 		return nil, errors.Wrap(ctx.Err(), "report")
 	}
-	return &endpoint.State{Incarnation: a.born}, nil
+	return &endpoint.State{Incarnation: a.started}, nil
 }
 
-// TestLives states which engines count as lost: those that say nothing to two asks, of
-// those during which this host ran.
+// TestLives checks which engines count as lost: those that leave two requests for a report
+// unanswered, not counting requests during which this host was held up.
 func TestLives(t *testing.T) {
-	const prompt, silent, heldUp = 5 * time.Millisecond, askWait + time.Millisecond, askWait + 40*time.Millisecond
+	const prompt, silent, heldUp = 5 * time.Millisecond, reportTimeout + time.Millisecond, reportTimeout + 40*time.Millisecond
 	cases := []struct {
 		name  string
 		takes []time.Duration
@@ -79,20 +79,20 @@
 		{"answers", []time.Duration{prompt}, true, 1, 0, 0},
 		{"the same process answers", []time.Duration{prompt}, true, 1, 7, 7},
 		{"a later one answers", []time.Duration{prompt}, false, 1, 7, 8},
-		{"one that doesn't tell its start answers", []time.Duration{prompt}, true, 1, 7, 0},
-		{"the start of the one that was called isn't known", []time.Duration{prompt}, true, 1, 0, 8},
+		{"one that doesn't report its start answers", []time.Duration{prompt}, true, 1, 7, 0},
+		{"the start of the called one isn't known", []time.Duration{prompt}, true, 1, 0, 8},
 		{"a report is lost", []time.Duration{silent, prompt}, true, 2, 0, 0},
-		{"says nothing", []time.Duration{silent}, false, 2, 0, 0},
+		{"doesn't answer", []time.Duration{silent}, false, 2, 0, 0},
 		{"the host is held up, and the engine answers", []time.Duration{heldUp, silent, prompt}, true, 3, 0, 0},
-		{"the host is held up, and the engine says nothing", []time.Duration{heldUp, silent}, false, 3, 0, 0},
-		{"the host is held up again and again", []time.Duration{heldUp}, true, askMost, 0, 0},
+		{"the host is held up, and the engine doesn't answer", []time.Duration{heldUp, silent}, false, 3, 0, 0},
+		{"the host is held up again and again", []time.Duration{heldUp}, true, maxLivenessAsks, 0, 0},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				a := &askedEngine{takes: tc.takes, born: tc.now}
+				a := &slowReportEngine{reportTimes: tc.takes, started: tc.now}
 				e := &Entry{engine: a}
-				if lives := e.lives(t.Context(), process{address: "10.0.0.1:80", born: tc.born}); lives != tc.lives || a.asked != tc.asked {
+				if lives := e.isAlive(t.Context(), process{address: "10.0.0.1:80", started: tc.born}); lives != tc.lives || a.asked != tc.asked {
 					t.Errorf("lives %v after %d asks, want %v after %d", lives, a.asked, tc.lives, tc.asked)
 				}
 			})
--- a/entry/write.go
+++ b/entry/write.go
@@ -16,221 +16,221 @@
 	"github.com/embercove/embercove/route"
 )
 
-// write has the answer written from a prompt that was read, moving to other
-// decode engines while the result is kept, and relays it.
-func (e *Entry) write(ctx context.Context, j *job, p *plan, kv *endpoint.Transfer) error {
-	lapses := time.Now().Add(forever)
+// decode has the answer generated from a prefilled prompt and relays it. While the prefill
+// result is kept, it moves to other decode engines where needed.
+func (e *Entry) decode(ctx context.Context, j *job, p *plan, kv *endpoint.Transfer) error {
+	expires := time.Now().Add(forever)
 	if kv != nil {
-		lapses = time.Now().Add(kept(kv))
+		expires = time.Now().Add(keptFor(kv))
 	}
 	full, lost := 0, 0
-	p.open = j.pick.Exclude
-	defer func() { e.dropCopy(j, p) }()
+	p.initialExclude = j.criteria.Exclude
+	defer func() { e.releaseReplica(j, p) }()
 	for {
-		for b := e.bars(j, p.dec); b != route.BarNone; b = e.bars(j, p.dec) {
-			if err := e.moveFrom(ctx, j, p, kv, lapses, b); err != nil {
+		for b := e.barFor(j, p.decodeSpec); b != route.BarNone; b = e.barFor(j, p.decodeSpec) {
+			if err := e.moveFromBarred(ctx, j, p, kv, expires, b); err != nil {
 				return err
 			}
 		}
-		elsewhere, refusal := e.mayRunAt(ctx, j, p.dec, quarantine.Running)
+		elsewhere, refusal := e.acquireProbeAt(ctx, j, p.decodeSpec, quarantine.Running)
 		if refusal != nil {
-			e.discard(j, p, kv)
-			return waitsOn(refusal, p.dec)
+			e.discardResult(j, p, kv)
+			return probeWaitFailure(refusal, p.decodeSpec)
 		}
 		if elsewhere {
-			if err := e.moveFrom(ctx, j, p, kv, lapses, route.BarTrial); err != nil {
+			if err := e.moveFromBarred(ctx, j, p, kv, expires, route.BarTrial); err != nil {
 				return err
 			}
 			continue
 		}
-		e.secure(ctx, j, p) // before the start, which lapses
-		if r := e.startHeld(ctx, j, p.dec, &p.held); r != nil {
-			if err := e.moveFrom(ctx, j, p, kv, lapses, r.bar); err != nil {
+		e.reserveReplica(ctx, j, p) // before the permit, which expires
+		if r := e.useOrAcquirePermit(ctx, j, p.decodeSpec, &p.permit); r != nil {
+			if err := e.moveFromBarred(ctx, j, p, kv, expires, r.bar); err != nil {
 				return err
 			}
 			continue
 		}
-		before := j.out.pieces()
+		before := j.reply.chunks()
 		err := e.decodeOnce(ctx, j, p, kv)
 		if err != nil {
-			err = e.goOn(ctx, j, p, err, j.out.pieces() > before)
+			err = e.resumeFromReplica(ctx, j, p, err, j.reply.chunks() > before)
 		}
 		if err == nil {
-			e.board.Requests.Close(p.decodeBy)
-			e.budgets.Earn(j.team.Name, p.dec.Name, j.view.Doc.Limits.RetryShare)
+			e.board.Requests.Close(p.decodeAttempt)
+			e.retryBudgets.Earn(j.team.Name, p.decodeSpec.Name, j.view.Doc.Limits.RetryShare)
 			return nil
 		}
 		var stalled *stallError
 		switch {
 		case ctx.Err() != nil:
-			e.discard(j, p, kv)
+			e.discardResult(j, p, kv)
 			return asResult(ctx.Err())
-		case j.out.pieces() > before: // pieces were relayed: the result is used up
-			return e.failed(p.dec, err)
+		case j.reply.chunks() > before: // chunks were relayed: the result is used up
+			return e.callFailure(p.decodeSpec, err)
 		case endpoint.Unreachable(err), endpoint.Elsewhere(err):
-			e.moveOn(ctx, j, p, owner.Failed, true)
-		case !endpoint.MayHaveRun(err) && p.kept:
+			e.moveDecode(ctx, j, p, owner.Failed, true)
+		case !endpoint.MayHaveRun(err) && p.promptCached:
 			e.releaseDecode(j, p, owner.Rejected)
-			return e.failed(p.dec, err)
+			return e.callFailure(p.decodeSpec, err)
 		case !endpoint.MayHaveRun(err):
 			full++
-			p.waited = true
-			if e.mayBeLost(j, p, kv) {
+			p.decodeWasFull = true
+			if e.resultMayBeLost(j, p, kv) {
 				lost++
-				e.doubtResult(p)
+				e.suspectResult(p)
 			}
-			if lost == lostAfter {
-				e.discard(j, p, kv)
+			if lost == maxLostRefusals {
+				e.discardResult(j, p, kv)
 				return e.resultLost(p)
 			}
-			if e.budgets.Windowed() {
-				e.moveOn(ctx, j, p, owner.Rejected, true)
+			if e.retryBudgets.Windowed() {
+				e.moveDecode(ctx, j, p, owner.Rejected, true)
 			}
 		case errors.As(err, &stalled) && !j.repeatable:
-			// Nothing was written; but the engine may have begun since.
-			e.discard(j, p, kv)
-			return e.failed(p.dec, err)
+			// Nothing was written, but the engine may have begun since.
+			e.discardResult(j, p, kv)
+			return e.callFailure(p.decodeSpec, err)
 		case errors.As(err, &stalled):
-			e.moveOn(ctx, j, p, owner.Failed, stalledBefore(p))
+			e.moveDecode(ctx, j, p, owner.Failed, countStall(p))
 		default:
-			if !j.repeatable || j.attempts >= j.mostAttempts() || j.ended >= mostEndsOfAttempt {
-				e.discard(j, p, kv)
-				return e.failed(p.dec, err)
+			if !j.repeatable || j.attempts >= j.maxAttempts() || j.crashCount >= maxCrashesPerAttempt {
+				e.discardResult(j, p, kv)
+				return e.callFailure(p.decodeSpec, err)
 			}
-			e.moveOn(ctx, j, p, owner.Failed, true)
+			e.moveDecode(ctx, j, p, owner.Failed, true)
 		}
-		if time.Until(lapses) < lastMoment || p.dec == nil || !e.sendsAgain(j) {
-			e.drop(j, p, kv)
-			if p.dec != nil {
+		if time.Until(expires) < minResultLeft || p.decodeSpec == nil || !e.spendDecodeCall(j) {
+			e.dropResult(j, p, kv)
+			if p.decodeSpec != nil {
 				e.releaseDecode(j, p, owner.GivenUp)
 			}
-			return e.wasted(j, p, err)
+			return e.wastedPrefill(j, p, err)
 		}
-		if !e.budgets.Windowed() && full > 0 && full%fullBeforeMove == 0 {
-			e.moveIfRoom(ctx, j, p)
+		if !e.retryBudgets.Windowed() && full > 0 && full%fullTriesBeforeMove == 0 {
+			e.moveIfCapacity(ctx, j, p)
 		}
-		pause := max(fullWait/2+rand.N(fullWait), time.Until(p.start))
-		if !wait.For(ctx, min(pause, time.Until(lapses))) {
-			e.discard(j, p, kv)
+		pause := max(fullRetryWait/2+rand.N(fullRetryWait), time.Until(p.transferStart))
+		if !wait.For(ctx, min(pause, time.Until(expires))) {
+			e.discardResult(j, p, kv)
 			return asResult(ctx.Err())
 		}
 	}
 }
 
-// lostAfter is how many decode engines must refuse a result, each of which had
-// room for it, until it is taken for lost where it was read.
-const lostAfter = 2
+// maxLostRefusals is how many decode engines with capacity must refuse a result until the
+// prefill engine is assumed to have lost it.
+const maxLostRefusals = 2
 
-// mayBeLost reports whether a result that the decode engine refused may be gone
-// where it was read: the engine granted memory for the request and has room for
-// another like it, so that it can hardly have refused it as full. Where reading
-// counts as a run the prompt is not read again in any case.
-func (e *Entry) mayBeLost(j *job, p *plan, kv *endpoint.Transfer) (room bool) {
+// resultMayBeLost reports whether a result that the decode engine refused may be lost at
+// the prefill engine: the decode engine granted memory for the request and has capacity for
+// another like it, so it can hardly have refused it as full. Where a prefill counts as a
+// run, the prompt isn't prefilled again in any case.
+func (e *Entry) resultMayBeLost(j *job, p *plan, kv *endpoint.Transfer) (room bool) {
 	if kv == nil || !p.reserved || e.traits.ReadingRuns {
 		return false
 	}
-	e.board.Endpoints.Touch(route.Number(p.dec.Name), func(s *route.State) {
+	e.board.Endpoints.Touch(route.Number(p.decodeSpec.Name), func(s *route.State) {
 		room = int(s.Digest.FreeTokens) >= j.tokens && s.Digest.FreeSlots > 0
 	})
 	return room
 }
 
-// doubtResult notes that a decode engine with room refused a result. Either its
-// owner was wrong, which happens with results of any prefill engine, or the
-// result is gone, which singles out the one that read.
-func (e *Entry) doubtResult(p *plan) {
-	number, now := route.Number(p.pre.Name), time.Now()
+// suspectResult records that a decode engine with capacity refused a result. Either its
+// owner was wrong, which happens with results of any prefill engine, or the result is lost,
+// which happens repeatedly only with the engine that made it.
+func (e *Entry) suspectResult(p *plan) {
+	number, now := route.Number(p.prefillSpec.Name), time.Now()
 	e.board.Endpoints.Touch(number, func(s *route.State) { s.Seen.Note(now, route.SightFailed, 0) })
-	e.owners.Release(p.pre, owner.Release{Attempt: p.readBy, Endpoint: number, Outcome: owner.Failed})
+	e.owners.Release(p.prefillSpec, owner.Release{Attempt: p.prefillAttempt, Endpoint: number, Outcome: owner.Failed})
 }
 
-// resultLost is the failure of a try whose result is gone. Nothing of the
-// request has run, so another prefill engine may read its prompt.
+// resultLost is the failure of a try whose result is lost. Nothing of the request has run,
+// so another prefill engine may prefill its prompt.
 func (e *Entry) resultLost(p *plan) error {
-	refusal := result.Errorf(result.NoDecodeMemory, "%d decode engines refused what %s had read", lostAfter, p.pre.Name).After(time.Second)
-	return &retryable{name: p.pre.Name, refusal: refusal}
+	refusal := result.Errorf(result.NoDecodeMemory, "%d decode engines refused the prefill result of %s", maxLostRefusals, p.prefillSpec.Name).After(time.Second)
+	return &retryable{endpointName: p.prefillSpec.Name, refusal: refusal}
 }
 
-// sendsAgain spends what one more call to a decode engine costs where further
-// calls are counted.
-func (e *Entry) sendsAgain(j *job) bool {
-	return j.sends == 0 || e.budgets.Further(j.pool, time.Now(), 1)
+// spendDecodeCall charges one more call to a decode engine to the retry budget, where
+// further calls are counted.
+func (e *Entry) spendDecodeCall(j *job) bool {
+	return j.decodeCalls == 0 || e.retryBudgets.Further(j.pool, time.Now(), 1)
 }
 
 const (
-	lastMoment     = 100 * time.Millisecond // of the time a result is kept
-	fullWait       = 20 * time.Millisecond  // between asks at a full engine
-	fullBeforeMove = 8                      // asks at a full engine before another is tried
-	forever        = 24 * time.Hour         // for which a prompt that needs no result is good
+	minResultLeft       = 100 * time.Millisecond // of the time a result is kept
+	fullRetryWait       = 20 * time.Millisecond  // between tries at a full engine
+	fullTriesBeforeMove = 8                      // tries at a full engine before another one is tried
+	forever             = 24 * time.Hour         // for which a prompt without a result to keep is valid
 )
 
-// stalledBefore reports whether this engine already stalled a transfer of
-// the job: the first is retried in place, the next moves on.
-func stalledBefore(p *plan) bool {
+// countStall counts a stalled transfer and reports whether this engine has stalled one
+// before: the first is retried in place, the next moves to another engine.
+func countStall(p *plan) bool {
 	p.stalls++
 	return p.stalls > 1
 }
 
-// moveIfRoom moves a request that waits at a full engine to another, if that
-// one's owner grants room; else the request keeps its place.
-func (e *Entry) moveIfRoom(ctx context.Context, j *job, p *plan) {
+// moveIfCapacity moves a request that waits at a full engine to another, if that one's
+// owner grants capacity. Otherwise the request keeps its slot.
+func (e *Entry) moveIfCapacity(ctx context.Context, j *job, p *plan) {
 	old := *p
-	j.pick.Drop(route.Number(p.dec.Name))
-	c, _ := e.choose(j, 0)
+	j.criteria.Drop(route.Number(p.decodeSpec.Name))
+	c, _ := e.choosePair(j, 0)
 	if c.Decode == nil {
 		return
 	}
-	p.dec, p.Move = c.Decode, c.Move
+	p.decodeSpec, p.Move = c.Decode, c.Move
 	if refusal := e.reserve(ctx, j, p, 0); refusal != nil || !p.reserved {
-		e.board.Requests.Close(p.decodeBy)
+		e.board.Requests.Close(p.decodeAttempt)
 		*p = old
 		return
 	}
 	e.releaseDecode(j, &old, owner.Rejected)
 }
 
-// moveOn finds the job's result another decode engine, or the same one anew
-// when move is false. p.dec is nil when there is none.
-func (e *Entry) moveOn(ctx context.Context, j *job, p *plan, as owner.Outcome, move bool) {
+// moveDecode finds another decode engine for the job's result, or opens a new attempt at
+// the same one if move is false. p.decodeSpec is nil if there is none.
+func (e *Entry) moveDecode(ctx context.Context, j *job, p *plan, as owner.Outcome, move bool) {
 	e.releaseDecode(j, p, as)
-	p.lastDec = p.dec
+	p.lastDecodeSpec = p.decodeSpec
 	if !move {
-		p.decodeBy = e.board.Requests.Open(j.id)
+		p.decodeAttempt = e.board.Requests.Open(j.id)
 		return
 	}
-	j.pick.Drop(route.Number(p.dec.Name))
+	j.criteria.Drop(route.Number(p.decodeSpec.Name))
 	e.findDecode(ctx, j, p)
 }
 
-// findDecode finds the job's result a decode engine that isn't left out. p.dec is nil when
-// there is none.
+// findDecode finds a decode engine that isn't excluded for the job's result. p.decodeSpec
+// is nil if there is none.
 func (e *Entry) findDecode(ctx context.Context, j *job, p *plan) {
-	p.dec = nil
+	p.decodeSpec = nil
 	c, _ := e.chooseDecode(j)
 	if c.Decode == nil {
-		p.decodeBy = e.board.Requests.Open(j.id)
+		p.decodeAttempt = e.board.Requests.Open(j.id)
 		return
 	}
 	p.stalls = 0
-	p.dec, p.Move = c.Decode, c.Move
+	p.decodeSpec, p.Move = c.Decode, c.Move
 	p.Wait, p.Read = 0, 0
 	if refusal := e.reserve(ctx, j, p, 0); refusal != nil {
-		p.decodeBy = e.board.Requests.Open(j.id) // its admission decides
+		p.decodeAttempt = e.board.Requests.Open(j.id) // the engine's own admission decides
 	}
 }
 
-// wasted is the failure of a try whose prompt was read for nothing. Where
-// reading is no run, nothing of the request has run; it is not read again, as
-// that would hardly find more room.
-func (e *Entry) wasted(j *job, p *plan, err error) error {
-	spec := p.lastOr(p.dec)
-	if !e.traits.ReadingRuns && !j.ran {
-		return result.Errorf(result.NoDecodeMemory, "%s and others had no room once the prompt was read", spec.Name).After(time.Second)
+// wastedPrefill is the failure of a try whose prompt was prefilled for nothing. Where a
+// prefill is no run, nothing of the request has run. It isn't prefilled again, as that
+// would hardly find more capacity.
+func (e *Entry) wastedPrefill(j *job, p *plan, err error) error {
+	spec := p.orLastDecode(p.decodeSpec)
+	if !e.traits.ReadingRuns && !j.possiblyRan {
+		return result.Errorf(result.NoDecodeMemory, "%s and others had no decode memory after the prefill", spec.Name).After(time.Second)
 	}
-	r := e.failed(spec, err)
-	r.stay = true
+	r := e.callFailure(spec, err)
+	r.sameEndpoint = true
 	r.mayHaveRun = true
-	r.refusal = result.Errorf(result.PrefillWasted, "no decode engine took the request while its prompt was kept").After(time.Second)
+	r.refusal = result.Errorf(result.PrefillWasted, "no decode engine accepted the request while its prefill result was kept").After(time.Second)
 	return r
 }
 
