--- a/entry/answer.go
+++ b/entry/answer.go
@@ -34,8 +34,8 @@
 	last   time.Time
 }
 
-func newAnswer(w http.ResponseWriter, j *job, chat bool) *answer {
-	return &answer{w: w, controller: http.NewResponseController(w), id: j.id.String(), model: j.work.Model, chat: chat,
+func newAnswer(w http.ResponseWriter, j *job, isChat bool) *answer {
+	return &answer{w: w, controller: http.NewResponseController(w), id: j.id.String(), model: j.work.Model, chat: isChat,
 		stream: j.work.Stream, promptTokens: j.tokens}
 }
 
--- a/entry/away.go
+++ b/entry/away.go
@@ -41,8 +41,8 @@
 
 // maxRemoteWait returns how long a request may wait in another region if it would wait for
 // here locally.
-func maxRemoteWait(here time.Duration) time.Duration {
-	return time.Duration(float64(here) / minRemoteSpeedup)
+func maxRemoteWait(localWait time.Duration) time.Duration {
+	return time.Duration(float64(localWait) / minRemoteSpeedup)
 }
 
 // Round trips that a redirected request pays for.
@@ -88,11 +88,11 @@
 	if len(found) == 0 {
 		return false
 	}
-	theres := make([]region.There, len(found))
+	capacities := make([]region.There, len(found))
 	for i := range found {
-		theres[i] = found[i].There
+		capacities[i] = found[i].There
 	}
-	to, verdicts := region.Choose(n, theres, rand.Float64(), rand.Float64())
+	to, verdicts := region.Choose(n, capacities, rand.Float64(), rand.Float64())
 	j.regionLog = describeChoice(found, verdicts, to)
 	if to < 0 {
 		for _, v := range verdicts {
@@ -113,7 +113,7 @@
 
 // remoteCandidates returns the other regions that a job's request may be sent to, with what
 // is known of each.
-func (e *Entry) remoteCandidates(j *job, trips int, tried config.Regions, list func(g *route.Group) []*route.State) (out []candidate) {
+func (e *Entry) remoteCandidates(j *job, trips int, tried config.Regions, list func(g *route.Group) []*route.State) (found []candidate) {
 	if e.singleRegion() {
 		return nil
 	}
@@ -128,14 +128,14 @@
 		r := j.criteria
 		r.Region, r.Now, r.Reach = j.localRegion(), now, 0
 		e.bindRegions(v, j, &r)
-		out = candidates(e.board, v, list(g), r, hosts, trips, tried)
+		found = candidates(e.board, v, list(g), r, hosts, trips, tried)
 	})
-	return out
+	return found
 }
 
 // candidates returns all regions but the request's own and the tried ones, with what is
 // known of each.
-func candidates(b *blackboard.Board, v *config.View, list []*route.State, r route.Request, hosts map[string]int, trips int, tried config.Regions) (out []candidate) {
+func candidates(b *blackboard.Board, v *config.View, list []*route.State, r route.Request, hosts map[string]int, trips int, tried config.Regions) (found []candidate) {
 	for _, name := range v.RegionNames {
 		set := v.RegionSet(name)
 		if set == 0 || set.Has(r.Region|tried) {
@@ -143,10 +143,10 @@
 		}
 		c := candidate{name: name, set: set, hosts: hosts[name]}
 		c.observe(b, list, r, trips)
-		out = append(out, c)
+		found = append(found, c)
 	}
-	countRequesters(out, hosts[b.Settings.Region])
-	return out
+	countRequesters(found, hosts[b.Settings.Region])
+	return found
 }
 
 // RegionChoice says whether a request would be redirected to a region, and why.
@@ -194,12 +194,12 @@
 
 // countRequesters computes for each region how many hosts compete for its capacity: those
 // of the own region, and those of other regions that have no capacity themselves.
-func countRequesters(found []candidate, own int) {
-	for i := range found {
-		c := &found[i]
-		c.Askers = own
-		for k := range found {
-			if other := &found[k]; k != i && other.Known && other.Places == 0 {
+func countRequesters(regions []candidate, localHosts int) {
+	for i := range regions {
+		c := &regions[i]
+		c.Askers = localHosts
+		for k := range regions {
+			if other := &regions[k]; k != i && other.Known && other.Places == 0 {
 				c.Askers += other.hosts
 			}
 		}
--- a/entry/barred.go
+++ b/entry/barred.go
@@ -120,9 +120,9 @@
 // noneOpen is the refusal of a job for which no endpoint of a list is open. It names the
 // bar of most of them.
 func (e *Entry) noneOpen(j *job, what string, list func(g *route.Group) []*route.State) *result.Error {
-	blamed := route.BarNone
+	mainBar := route.BarNone
 	var numbers []uint32
-	rest, resting := time.Duration(0), false
+	retryAfter, backingOff := time.Duration(0), false
 	j.criteria.Now = time.Now()
 	e.board.Endpoints.Read(func(fleet *route.Fleet) {
 		v := fleet.View
@@ -130,27 +130,27 @@
 			e.bindRegions(v, j, &j.criteria)
 			open := func(s *route.State) bool { return route.Open(s, &j.criteria) }
 			if l := list(g); !slices.ContainsFunc(l, open) { // else no bar is the reason
-				blamed = route.Blame(l, &j.criteria)
-				rest, resting = backoffRetryAfter(l, &j.criteria)
+				mainBar = route.Blame(l, &j.criteria)
+				retryAfter, backingOff = backoffRetryAfter(l, &j.criteria)
 			}
 			for _, s := range list(g) {
 				numbers = append(numbers, s.Number)
 			}
 		}
 	})
-	e.barTotals.count(blamed)
-	switch blamed {
+	e.barTotals.count(mainBar)
+	switch mainBar {
 	case route.BarEvacuated:
-		return result.Errorf(result.Evacuated, "no %s is open: %s", what, blamed).After(evacuatedRetryAfter)
+		return result.Errorf(result.Evacuated, "no %s is open: %s", what, mainBar).After(evacuatedRetryAfter)
 	case route.BarCold, route.BarLimited:
-		return result.Errorf(barCode(blamed), "no %s is open: %s", what, blamed).After(e.permitRetryAfter(numbers))
+		return result.Errorf(barCode(mainBar), "no %s is open: %s", what, mainBar).After(e.permitRetryAfter(numbers))
 	case route.BarConnections:
-		return result.Errorf(result.TooLate, "no %s is open: %s", what, blamed).After(e.fullRetryAfter(numbers))
+		return result.Errorf(result.TooLate, "no %s is open: %s", what, mainBar).After(e.fullRetryAfter(numbers))
 	case route.BarHome:
-		return result.Errorf(result.NoHome, "no %s is open: %s", what, blamed).After(time.Second)
+		return result.Errorf(result.NoHome, "no %s is open: %s", what, mainBar).After(time.Second)
 	}
-	if resting {
-		return result.Errorf(result.Resting, "no %s is open: %s", what, route.BarResting).After(rest)
+	if backingOff {
+		return result.Errorf(result.Resting, "no %s is open: %s", what, route.BarResting).After(retryAfter)
 	}
 	return result.Errorf(result.NoEndpoint, "no %s that the route allows is reachable", what).After(time.Second)
 }
@@ -158,15 +158,15 @@
 // backoffRetryAfter returns when a caller should retry if some endpoints are barred only by
 // a backoff that they asked for, and whether there are any. It is some time after the first
 // backoff ends, as a single request is sent there first.
-func backoffRetryAfter(list []*route.State, r *route.Request) (back time.Duration, resting bool) {
-	back = time.Duration(math.MaxInt64)
+func backoffRetryAfter(list []*route.State, r *route.Request) (retryAfter time.Duration, backingOff bool) {
+	retryAfter = time.Duration(math.MaxInt64)
 	for _, s := range list {
 		if route.Barred(s, r) == route.BarResting {
 			probe := time.Duration((minCallShare + rand.Float64()) * max(s.Seen.Took, minBackoffProbe) * float64(time.Second))
-			back, resting = min(back, max(0, s.Notices.Rest.Sub(r.Now))+probe), true
+			retryAfter, backingOff = min(retryAfter, max(0, s.Notices.Rest.Sub(r.Now))+probe), true
 		}
 	}
-	return back, resting
+	return retryAfter, backingOff
 }
 
 // minBackoffProbe is the least time, in seconds, that the first request after a backoff is
--- a/entry/ends.go
+++ b/entry/ends.go
@@ -106,12 +106,12 @@
 	at := processOf(spec)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	switch born := s.startTimes[at.address]; {
-	case at.started == 0 || born == 0:
-	case born <= at.started:
+	switch started := s.startTimes[at.address]; {
+	case at.started == 0 || started == 0:
+	case started <= at.started:
 		delete(s.startTimes, at.address)
 	default:
-		at.started = born
+		at.started = started
 	}
 	return at
 }
@@ -194,15 +194,15 @@
 // checkProcess looks for signs of a process, at its address and in the endpoint's
 // registration.
 func (e *Entry) checkProcess(ctx context.Context, en *crashCheck) quarantine.Finding {
-	sign, born := e.processSign(ctx, en.proc)
+	sign, started := e.processSign(ctx, en.proc)
 	e.board.Endpoints.Find(route.Number(en.spec.Name), func(_ *config.View, s *route.State) {
 		if en.proc.started > 0 && s.Spec.Born > en.proc.started {
 			sign = quarantine.SignLater
 		}
 	})
-	if born > en.proc.started {
+	if started > en.proc.started {
 		e.crashes.mu.Lock()
-		e.crashes.startTimes[en.proc.address] = born
+		e.crashes.startTimes[en.proc.address] = started
 		e.crashes.mu.Unlock()
 	}
 	return sign.Judge(en.planned)
--- a/entry/place.go
+++ b/entry/place.go
@@ -117,7 +117,7 @@
 			break
 		}
 		j.refusedRegions |= j.criteria.Region // unless it is placed there
-		if p, there := e.placeInRegions(ctx, j, remoteEnqueueAsks); there == nil {
+		if p, refusal := e.placeInRegions(ctx, j, remoteEnqueueAsks); refusal == nil {
 			return p
 		}
 	}
@@ -128,10 +128,10 @@
 // placeInRegions places a job among the endpoints of its current regions. It asks up to
 // maxAsks owners for a prefill slot.
 func (e *Entry) placeInRegions(ctx context.Context, j *job, maxAsks int) (*plan, *result.Error) {
-	asked := j.criteria.Exclude // endpoints without capacity now are excluded in this try only
+	excluded := j.criteria.Exclude // endpoints without capacity now are excluded in this try only
 	var last *result.Error
 	notBefore := time.Now()
-	for asks, turns := 0, 0; asks < maxAsks && turns < maxRequeues; {
+	for asks, slots := 0, 0; asks < maxAsks && slots < maxRequeues; {
 		if last != nil && j.slack() <= 0 {
 			break // a slot that was waited for and came to nothing has used up the time
 		}
@@ -159,9 +159,9 @@
 			}
 			continue
 		}
-		turns++
+		slots++
 		last = e.reserveAny(ctx, j, p)
-		j.criteria.Exclude = asked
+		j.criteria.Exclude = excluded
 		if last == nil {
 			last = e.requeueLater(ctx, j, p)
 			if last == nil {
@@ -179,13 +179,13 @@
 			break // a request doesn't wait for memory in a remote region
 		}
 		notBefore = time.Now().Add(last.RetryAfter)
-		if last.RetryAfter >= remoteAfterWait && !j.redirected() && turns == 1 {
+		if last.RetryAfter >= remoteAfterWait && !j.redirected() && slots == 1 {
 			if p := e.placeRemote(ctx, j, e.remoteNeed(j, last.Code), maxRemoteRegions, j.localRegions()); p != nil {
 				return p, nil
 			}
 		}
 	}
-	j.criteria.Exclude = asked
+	j.criteria.Exclude = excluded
 	if last == nil && e.traits.DecodeReads {
 		return e.placeDecodeOnly(ctx, j)
 	}
--- a/entry/reserve.go
+++ b/entry/reserve.go
@@ -28,7 +28,7 @@
 // reserveFrom reserves decode memory on the first engine that grants it, among those that
 // choose returns one after the other. The refusal it returns has the earliest time at which
 // one would.
-func (e *Entry) reserveFrom(ctx context.Context, j *job, p *plan, choose func(*job) (route.Choice, *config.View), in time.Duration) *result.Error {
+func (e *Entry) reserveFrom(ctx context.Context, j *job, p *plan, choose func(*job) (route.Choice, *config.View), prefillIn time.Duration) *result.Error {
 	e.setPhase(j, blackboard.PhaseReserve, nil)
 	var last *result.Error
 	for asks := 0; asks < maxReserveAsks; {
@@ -37,7 +37,7 @@
 			break
 		}
 		p.decodeSpec, p.Move = c.Decode, c.Move
-		refusal := e.reserve(ctx, j, p, in)
+		refusal := e.reserve(ctx, j, p, prefillIn)
 		if refusal == nil || ctx.Err() != nil {
 			return refusal
 		}
@@ -59,10 +59,10 @@
 }
 
 // reserve asks the decode engine's owner for memory at the end of the prefill.
-func (e *Entry) reserve(ctx context.Context, j *job, p *plan, in time.Duration) *result.Error {
+func (e *Entry) reserve(ctx context.Context, j *job, p *plan, prefillIn time.Duration) *result.Error {
 	a := owner.ReserveArgs{Attempt: e.board.Requests.Open(j.id), Endpoint: route.Number(p.decodeSpec.Name), Tokens: j.tokens,
 		MaxAnswer: j.work.MaxTokens, Expected: j.expected, Mark: j.engineID, Bytes: int64(j.tokens) * kvBytesPerToken(j.view, j.work.Model),
-		InMillis: ms(in), Slack: max(0, ms(j.slack()-in-p.Move-j.redirect.detour)), Team: j.teamNumber, Priority: j.priority, Abroad: j.redirected()}
+		InMillis: ms(prefillIn), Slack: max(0, ms(j.slack()-prefillIn-p.Move-j.redirect.detour)), Team: j.teamNumber, Priority: j.priority, Abroad: j.redirected()}
 	p.decodeAttempt, p.reserved = a.Attempt, false
 	now := time.Now()
 	reply, err := e.owners.Reserve(ctx, p.decodeSpec, a)
@@ -71,14 +71,14 @@
 		e.releaseDecode(j, p, owner.GivenUp)
 		return asResult(ctx.Err())
 	case err != nil: // the owner is unreachable: the engine's own admission decides
-		p.transferStart = now.Add(in)
+		p.transferStart = now.Add(prefillIn)
 		return nil
 	case reply.Code != result.OK:
 		e.board.Requests.Close(a.Attempt)
 		return result.Errorf(reply.Code, "no decode memory on %s in time", p.decodeSpec.Name).After(time.Duration(reply.Retry) * time.Millisecond)
 	}
 	p.reserved, p.transferStart = true, now.Add(time.Duration(reply.InMillis)*time.Millisecond)
-	if refusal := e.acquireDecodePermit(ctx, j, p, in); refusal != nil {
+	if refusal := e.acquireDecodePermit(ctx, j, p, prefillIn); refusal != nil {
 		e.releaseDecode(j, p, owner.GivenUp)
 		return refusal
 	}
--- a/entry/service.go
+++ b/entry/service.go
@@ -119,13 +119,13 @@
 // has no endpoint for it.
 func (e *Entry) chooseService(j *job) *config.Endpoint {
 	e.returnToLocalRegion(j)
-	spec, here := e.bestService(j)
-	n, stays := j.serviceRemoteNeed(spec, here, spec == nil && e.noLocalEndpoint(j))
+	spec, localTime := e.bestService(j)
+	n, stays := j.serviceRemoteNeed(spec, localTime, spec == nil && e.noLocalEndpoint(j))
 	if stays || !e.redirectJob(j, n, serviceRoundTrips, j.localRegions(), serviceStates) {
 		return spec
 	}
-	if there, _ := e.bestService(j); there != nil {
-		return there
+	if remote, _ := e.bestService(j); remote != nil {
+		return remote
 	}
 	e.returnToLocalRegion(j)
 	return spec
@@ -138,22 +138,22 @@
 // regions have a burst, calls that would be refused at once run there and finish late.
 const remoteTimeShare = 0.6
 
-// serviceRemoteNeed returns what a call needs in another region if it takes here at the
-// best local endpoint, and whether it stays in any case. A call whose region has no
+// serviceRemoteNeed returns what a call needs in another region if it takes localTime
+// at the best local endpoint, and whether it stays in any case. A call whose region has no
 // endpoint for it is redirected even if it may be late.
-func (j *job) serviceRemoteNeed(spec *config.Endpoint, here time.Duration, homeless bool) (n region.Need, stays bool) {
+func (j *job) serviceRemoteNeed(spec *config.Endpoint, localTime time.Duration, noEndpoint bool) (n region.Need, stays bool) {
 	left := time.Until(j.arrived.Add(time.Duration(targetShare * float64(j.target()))))
 	n.Left = time.Duration(remoteTimeShare * float64(left))
 	switch {
-	case homeless:
+	case noEndpoint:
 		n.Homeless = true
 		if j.deadline > 0 {
 			n.Left = time.Until(j.arrived.Add(j.deadline))
 		}
-	case spec != nil && float64(here) <= redirectWaitShare*float64(left):
+	case spec != nil && float64(localTime) <= redirectWaitShare*float64(left):
 		return n, true
 	case spec != nil:
-		n.Left = min(n.Left, maxRemoteWait(here))
+		n.Left = min(n.Left, maxRemoteWait(localTime))
 	}
 	return n, false
 }
--- a/entry/service_choice.go
+++ b/entry/service_choice.go
@@ -10,9 +10,9 @@
 // bestService selects the endpoint with the fewest calls from this host, preferring the own
 // failure domain. Recent failures and lost connections count as calls. A call that has
 // failed once isn't tried at an endpoint that was unreachable just now: it is refused
-// instead, in time to go elsewhere. takes is the typical duration of a call there; it is
+// instead, in time to go elsewhere. duration is that of a typical call there; it is
 // forever if the endpoint was full or unreachable just now.
-func (e *Entry) bestService(j *job) (spec *config.Endpoint, takes time.Duration) {
+func (e *Entry) bestService(j *job) (spec *config.Endpoint, duration time.Duration) {
 	j.criteria.Now = time.Now()
 	e.board.Endpoints.Read(func(fleet *route.Fleet) {
 		if j.criteria.Group = j.group(fleet); j.criteria.Group == nil {
@@ -24,10 +24,10 @@
 		}
 		best := fleet.PickService(&j.criteria, open, func(s *route.State) float64 { return serviceCost(s, &j.criteria) })
 		if best != nil {
-			spec, takes = best.Spec, callTime(best, j.criteria.Now)
+			spec, duration = best.Spec, callTime(best, j.criteria.Now)
 		}
 	})
-	return spec, takes
+	return spec, duration
 }
 
 // callTime returns how long a call at an endpoint typically takes, from this host's own
--- a/entry/start.go
+++ b/entry/start.go
@@ -35,8 +35,8 @@
 // not be made: no permit is available there in time, or the endpoint was barred during the
 // wait. Nothing has run then.
 func (e *Entry) acquirePermit(ctx context.Context, j *job, spec *config.Endpoint) *retryable {
-	most := e.maxPermitWait(j, spec)
-	for end := time.Now().Add(most); ; {
+	maxWait := e.maxPermitWait(j, spec)
+	for end := time.Now().Add(maxWait); ; {
 		b := e.permitReason(spec)
 		if b == route.BarNone {
 			break
@@ -92,7 +92,7 @@
 // elsewhere shouldn't queue for long, and not at all while other endpoints of the pool have
 // capacity.
 func (e *Entry) maxPermitWait(j *job, spec *config.Endpoint) time.Duration {
-	most := max(pace.LeastWait, min(pace.MostWait, j.slack()))
+	maxWait := max(pace.LeastWait, min(pace.MostWait, j.slack()))
 	e.board.Endpoints.Read(func(fleet *route.Fleet) {
 		v := fleet.View
 		g := j.group(fleet)
@@ -104,11 +104,11 @@
 		e.bindRegions(v, j, &r)
 		for _, s := range g.Of(spec.Role).All() {
 			if s.Spec.Name != spec.Name && route.Open(s, &r) && s.Free(r.Now) {
-				most = 0
+				maxWait = 0
 			}
 		}
 	})
-	return most
+	return maxWait
 }
 
 // limitedNotCold reports whether an endpoint names a limit and isn't cold.
@@ -132,20 +132,20 @@
 
 // acquireDecodePermit requests the permit for an answer before its prompt is prefilled, if
 // the decode endpoint names a limit: a prompt shouldn't be prefilled for an answer that the
-// endpoint won't take. in is the time until the prefill ends.
-func (e *Entry) acquireDecodePermit(ctx context.Context, j *job, p *plan, in time.Duration) *result.Error {
+// endpoint won't take. prefillIn is the time until the prefill ends.
+func (e *Entry) acquireDecodePermit(ctx context.Context, j *job, p *plan, prefillIn time.Duration) *result.Error {
 	p.permit = heldPermit{}
 	b := e.permitReason(p.decodeSpec)
 	if b != route.BarLimited {
 		return nil
 	}
-	most := e.maxPermitWait(j, p.decodeSpec) + in
-	s := e.requestPermit(ctx, j, p.decodeSpec, b, most)
+	maxWait := e.maxPermitWait(j, p.decodeSpec) + prefillIn
+	s := e.requestPermit(ctx, j, p.decodeSpec, b, maxWait)
 	if !s.Given {
-		return e.noPermit(j, p.decodeSpec, b, s, most).refusal
+		return e.noPermit(j, p.decodeSpec, b, s, maxWait).refusal
 	}
 	p.transferStart = later(p.transferStart, time.Now().Add(s.In))
-	p.permit = heldPermit{endpoint: p.decodeSpec.Name, until: s.Until.Add(min(maxPermitHold, max(in, time.Until(p.transferStart))+p.Move+permitHoldExtra))}
+	p.permit = heldPermit{endpoint: p.decodeSpec.Name, until: s.Until.Add(min(maxPermitHold, max(prefillIn, time.Until(p.transferStart))+p.Move+permitHoldExtra))}
 	return nil
 }
 
@@ -174,25 +174,25 @@
 // refuses gets a later one.
 func (e *Entry) permitRetryAfter(list []uint32) time.Duration {
 	now := time.Now()
-	first, back := uint32(0), time.Duration(math.MaxInt64)
+	soonest, retryAfter := uint32(0), time.Duration(math.MaxInt64)
 	for _, number := range list {
 		e.board.Endpoints.Find(number, func(_ *config.View, s *route.State) {
 			if !s.Cold(now) && !s.Limit.Word().Named {
 				return
 			}
-			if in := max(s.NoStart.Sub(now)+pace.LeastWait, s.Back.Sub(now)); in < back {
-				first, back = number, in
+			if in := max(s.NoStart.Sub(now)+pace.LeastWait, s.Back.Sub(now)); in < retryAfter {
+				soonest, retryAfter = number, in
 			}
 		})
 	}
-	if first == 0 {
+	if soonest == 0 {
 		return time.Second
 	}
-	back = min(max(back, 0), maxPermitRetryAfter)
-	e.board.Endpoints.Touch(first, func(s *route.State) {
+	retryAfter = min(max(retryAfter, 0), maxPermitRetryAfter)
+	e.board.Endpoints.Touch(soonest, func(s *route.State) {
 		if w := s.Limit.Word(); w.Named {
-			s.Back = now.Add(back + time.Duration(float64(time.Second)/max(w.PerSecond, 1/maxPermitRetryAfter.Seconds())))
+			s.Back = now.Add(retryAfter + time.Duration(float64(time.Second)/max(w.PerSecond, 1/maxPermitRetryAfter.Seconds())))
 		}
 	})
-	return back
+	return retryAfter
 }
--- a/entry/suspect.go
+++ b/entry/suspect.go
@@ -119,17 +119,17 @@
 
 // requestProbe implements acquireProbe and acquireProbeAt. The caller sets all of a but the
 // request and its holder.
-func (e *Entry) requestProbe(ctx context.Context, j *job, a quarantine.Ask, most time.Duration) (elsewhere bool, refusal *result.Error) {
+func (e *Entry) requestProbe(ctx context.Context, j *job, a quarantine.Ask, maxWait time.Duration) (elsewhere bool, refusal *result.Error) {
 	if e.board.Suspects.Quiet() {
 		return false, nil
 	}
-	again := probePollStart
-	for end := time.Now().Add(most); ; again = min(2*again, probePollMax) {
-		verdict, rest := e.board.Suspects.Judge(j.fingerprint, clock.Now())
+	interval := probePollStart
+	for end := time.Now().Add(maxWait); ; interval = min(2*interval, probePollMax) {
+		verdict, retryIn := e.board.Suspects.Judge(j.fingerprint, clock.Now())
 		if verdict == quarantine.Free {
 			return false, nil
 		}
-		if refusal := e.verdictRefusal(j, verdict, rest); refusal != nil {
+		if refusal := e.verdictRefusal(j, verdict, retryIn); refusal != nil {
 			return false, refusal
 		}
 		a.Request, a.Holder = j.fingerprint, j.probeHolder()
@@ -140,7 +140,7 @@
 			return reply.Elsewhere, nil
 		}
 		asked := time.Now()
-		if end.Sub(asked) < again || !wait.For(ctx, again/2+rand.N(again)) {
+		if end.Sub(asked) < interval || !wait.For(ctx, interval/2+rand.N(interval)) {
 			return false, underProbe(j).After(probeRetryAfter)
 		}
 		j.probeWaited += time.Since(asked)
@@ -153,19 +153,19 @@
 	if e.board.Suspects.Quiet() {
 		return nil
 	}
-	verdict, rest := e.board.Suspects.Judge(j.fingerprint, clock.Now())
-	return e.verdictRefusal(j, verdict, rest)
+	verdict, retryIn := e.board.Suspects.Judge(j.fingerprint, clock.Now())
+	return e.verdictRefusal(j, verdict, retryIn)
 }
 
 // verdictRefusal returns the refusal for a verdict, or nil. A request that crashes are
 // attributed to gets no retry time: callers should stop sending it.
-func (e *Entry) verdictRefusal(j *job, v quarantine.Verdict, rest time.Duration) *result.Error {
+func (e *Entry) verdictRefusal(j *job, v quarantine.Verdict, retryIn time.Duration) *result.Error {
 	switch v {
 	case quarantine.Blamed:
 		e.board.Suspects.NoteRefused()
 		return result.Errorf(result.EndsEndpoints, "endpoints crashed while they ran this request (%s)", j.fingerprint)
 	case quarantine.Resting:
-		return underProbe(j).After(rest)
+		return underProbe(j).After(retryIn)
 	}
 	return nil
 }
--- a/entry/watchdog.go
+++ b/entry/watchdog.go
@@ -120,7 +120,7 @@
 // restarted since: it holds nothing of the run then. A check during which this host was
 // held up proves nothing: the answer may have arrived.
 func (e *Entry) isAlive(ctx context.Context, at process) bool {
-	unheard := 0
+	unanswered := 0
 	for range maxLivenessAsks {
 		began := time.Now()
 		sign, _ := e.processSign(ctx, at)
@@ -132,9 +132,9 @@
 		case sign != quarantine.SignNone:
 			return true
 		case time.Since(began) < reportTimeout+maxTimerDelay:
-			unheard++
+			unanswered++
 		}
-		if unheard == maxUnanswered {
+		if unanswered == maxUnanswered {
 			return false
 		}
 	}
@@ -143,7 +143,7 @@
 
 // processSign asks an endpoint for its report once. It returns what that shows of a
 // process, and the start time in the report if that is a later process's, else 0.
-func (e *Entry) processSign(ctx context.Context, at process) (sign quarantine.Sign, born int64) {
+func (e *Entry) processSign(ctx context.Context, at process) (sign quarantine.Sign, started int64) {
 	limited, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	st, err := e.engine.State(limited, at.address)
--- a/entry/write.go
+++ b/entry/write.go
@@ -125,14 +125,14 @@
 // the prefill engine: the decode engine granted memory for the request and has capacity for
 // another like it, so it can hardly have refused it as full. Where a prefill counts as a
 // run, the prompt isn't prefilled again in any case.
-func (e *Entry) resultMayBeLost(j *job, p *plan, kv *endpoint.Transfer) (room bool) {
+func (e *Entry) resultMayBeLost(j *job, p *plan, kv *endpoint.Transfer) (hasCapacity bool) {
 	if kv == nil || !p.reserved || e.traits.ReadingRuns {
 		return false
 	}
 	e.board.Endpoints.Touch(route.Number(p.decodeSpec.Name), func(s *route.State) {
-		room = int(s.Digest.FreeTokens) >= j.tokens && s.Digest.FreeSlots > 0
+		hasCapacity = int(s.Digest.FreeTokens) >= j.tokens && s.Digest.FreeSlots > 0
 	})
-	return room
+	return hasCapacity
 }
 
 // suspectResult records that a decode engine with capacity refused a result. Either its
