--- a/report/burn.go
+++ b/report/burn.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// Windows are the spans that burn is reported over.
+// Windows are the windows that burn is reported over.
 var Windows = []time.Duration{5 * time.Minute, time.Hour, 6 * time.Hour}
 
-// Burn is the use of the error budget over one window. 1 means that the
-// budget is used up exactly at its rate; more means sooner.
+// Burn is the consumption of the error budget over one window. 1 means that the budget
+// lasts exactly for its period; a higher rate uses it up sooner.
 type Burn struct {
 	Window string  `json:"window"`
 	Total  uint64  `json:"total"`
@@ -27,7 +27,7 @@
 	Alert string `json:"alert,omitempty"`
 }
 
-// BurnReport is the service-level burn of one host or of several.
+// BurnReport is the error budget burn of one host, or of several merged.
 type BurnReport struct {
 	Objective float64   `json:"objective"`
 	Rows      []BurnRow `json:"rows"`
@@ -46,7 +46,7 @@
 			br := BurnRow{Kind: group.kind, Name: name}
 			for _, w := range Windows {
 				total, bad := s.sum(now, w)
-				br.Burns = append(br.Burns, Burn{Window: span(w), Total: total, Bad: bad})
+				br.Burns = append(br.Burns, Burn{Window: formatWindow(w), Total: total, Bad: bad})
 			}
 			if br.Burns[len(br.Burns)-1].Total > 0 {
 				rep.Rows = append(rep.Rows, br)
@@ -57,14 +57,14 @@
 	return rep
 }
 
-func span(d time.Duration) string {
+func formatWindow(d time.Duration) string {
 	if d < time.Hour {
 		return fmt.Sprintf("%dm", int(d.Minutes()))
 	}
 	return fmt.Sprintf("%dh", int(d.Hours()))
 }
 
-// finish works out rates and alerts and sorts the rows.
+// finish computes rates and alerts and sorts the rows.
 func (b *BurnReport) finish() {
 	budget := 1 - b.Objective
 	for i := range b.Rows {
@@ -85,14 +85,14 @@
 	})
 }
 
-// Rates from which the alert rule speaks: a page when both short windows
-// burn fast, a ticket when both long ones burn steadily.
+// Burn rates at which the alert rule fires: a page when both short windows burn fast, a
+// ticket when both long ones burn steadily.
 const (
 	PageBurn   = 14.4
 	TicketBurn = 6.0
 )
 
-// AlertRule states the multi-window rule in words.
+// AlertRule describes the multi-window alert rule.
 const AlertRule = "page: 5m and 1h both burn at 14.4 or more; ticket: 1h and 6h both burn at 6 or more"
 
 func alert(b []Burn) string {
@@ -107,7 +107,7 @@
 	return ""
 }
 
-// Merge adds the reports of several hosts up.
+// Merge adds up the reports of several hosts.
 func Merge(reps []BurnReport) BurnReport {
 	var out BurnReport
 	at := map[string]int{}
@@ -140,7 +140,7 @@
 	fmt.Fprintf(&s, "objective %.4g; burn 1 uses the error budget up at its rate\n%s\n\n", b.Objective, AlertRule)
 	fmt.Fprintf(&s, "%-6s %-24s", "kind", "name")
 	for _, w := range Windows {
-		fmt.Fprintf(&s, " %8s %6s %6s", span(w), "bad", "of")
+		fmt.Fprintf(&s, " %8s %6s %6s", formatWindow(w), "bad", "of")
 	}
 	s.WriteString("  alert\n")
 	for _, r := range b.Rows {
--- a/report/outcome.go
+++ b/report/outcome.go
@@ -1,7 +1,7 @@
-// Package report counts how requests ended: goodput, wasted prefill, and the
-// burn of the service levels.
+// Package report counts how requests ended: goodput, wasted prefill, and the burn of the
+// error budgets.
 //
-// It is each host's own count; the operator's tool adds hosts up.
+// Each host counts only its own requests; the operator's tool adds up the hosts.
 package report
 
 import (
@@ -16,31 +16,31 @@
 	Team, Model string
 	Code        result.Code
 	TTFT        time.Duration // to the first token; 0: none was sent
-	TPOT        time.Duration // per token after the first; 0: fewer than two
+	TPOT        time.Duration // per token after the first; 0: fewer than two tokens
 	Tokens      int           // sent to the caller
-	Prefilled   int           // prompt tokens that engines read for it
-	Wasted      int           // of these, read for no answer
-	Tries       int           // passes of the whole way from reservation on
+	Prefilled   int           // prompt tokens that engines prefilled for it
+	Wasted      int           // prompt tokens among them that led to no answer
+	Tries       int           // passes from reservation on
 	Attempts    int           // calls that may have run at endpoints
-	Service     bool          // a plain service's call
+	Service     bool          // a call to a plain service
 }
 
-// Verdict is what an outcome counts as.
+// Verdict is how an outcome counts.
 type Verdict int
 
 // The verdicts.
 const (
-	Excluded Verdict = iota // the caller's own doing
+	Excluded Verdict = iota // caused by the caller
 	Good                    // answered within both targets
 	Late                    // answered outside a target
 	Bad                     // refused, broken or unknown
 )
 
-// firstRouterCode is the least code that isn't the caller's doing.
+// firstRouterCode is the lowest code that isn't caused by the caller.
 const firstRouterCode = result.TooLate
 
-// Judge returns what an outcome counts as under the targets.
-func Judge(o Outcome, t config.Targets) Verdict {
+// Evaluate returns how an outcome counts under the targets.
+func Evaluate(o Outcome, t config.Targets) Verdict {
 	switch {
 	case o.Code == result.CallerGone:
 		return Excluded
--- a/report/recorder.go
+++ b/report/recorder.go
@@ -10,11 +10,11 @@
 	"github.com/embercove/embercove/result"
 )
 
-// maxRows bounds the teams and models counted apart, so that names made up
-// by callers can't fill the memory; further ones are counted together.
+// maxRows bounds the teams and models that are counted separately, so that names made up by
+// callers can't use up the memory. Further ones are counted together.
 const maxRows = 1024
 
-// otherRow is where names past maxRows are counted.
+// otherRow counts the names beyond maxRows.
 const otherRow = "(other)"
 
 // Recorder counts the outcomes of one host. It is safe for concurrent use.
@@ -28,7 +28,7 @@
 	tpot    *hdrhistogram.Histogram
 }
 
-// Sum adds outcomes up since the start of the process.
+// Sum holds the totals since the start of the process.
 type Sum struct {
 	Requests  uint64                 `json:"requests"`
 	Good      uint64                 `json:"good"`
@@ -45,15 +45,15 @@
 
 // Bounds of the histograms, in µs.
 const (
-	leastMicros = 1
-	mostMicros  = 600_000_000
-	figures     = 3
+	minMicros          = 1
+	maxMicros          = 600_000_000
+	significantFigures = 3
 )
 
 // NewRecorder returns an empty recorder.
 func NewRecorder() *Recorder {
 	return &Recorder{teams: map[string]*series{}, models: map[string]*series{}, sum: Sum{Codes: map[result.Code]uint64{}},
-		ttft: hdrhistogram.New(leastMicros, mostMicros, figures), tpot: hdrhistogram.New(leastMicros, mostMicros, figures)}
+		ttft: hdrhistogram.New(minMicros, maxMicros, significantFigures), tpot: hdrhistogram.New(minMicros, maxMicros, significantFigures)}
 }
 
 // SetTargets sets the targets of the revision in force.
@@ -67,7 +67,7 @@
 func (r *Recorder) Record(o Outcome, now time.Time) Verdict {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	v := Judge(o, r.targets)
+	v := Evaluate(o, r.targets)
 	r.sum.add(o, v)
 	if o.TTFT > 0 {
 		_ = r.ttft.RecordValue(o.TTFT.Microseconds())
@@ -78,12 +78,12 @@
 	if v == Excluded {
 		return v
 	}
-	row(r.teams, o.Team).add(now, v != Good)
-	row(r.models, o.Model).add(now, v != Good)
+	seriesFor(r.teams, o.Team).add(now, v != Good)
+	seriesFor(r.models, o.Model).add(now, v != Good)
 	return v
 }
 
-func row(m map[string]*series, name string) *series {
+func seriesFor(m map[string]*series, name string) *series {
 	s := m[name]
 	if s == nil && len(m) >= maxRows {
 		name = otherRow
@@ -96,7 +96,7 @@
 	return s
 }
 
-// Sum returns the counts since the start.
+// Sum returns the totals since the start of the process.
 func (r *Recorder) Sum() Sum {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -108,7 +108,7 @@
 	return s
 }
 
-// Quantiles are in ms.
+// Quantiles of a duration, in ms.
 type Quantiles struct {
 	P50 float64 `json:"p50_ms"`
 	P95 float64 `json:"p95_ms"`
--- a/report/series.go
+++ b/report/series.go
@@ -4,24 +4,24 @@
 	"time"
 )
 
-// bucketSize and buckets are the grain and the reach of the windows.
+// Resolution and length of the counted windows.
 const (
 	bucketSize = time.Minute
 	buckets    = 360
 )
 
-// series counts one team or model over time.
+// series counts the requests of one team or model over time.
 type series struct {
-	minute [buckets]int64 // since 1970; says whose minute a bucket holds
-	total  [buckets]uint32
-	bad    [buckets]uint32
+	minutes [buckets]int64 // minute of each bucket, since 1970
+	total   [buckets]uint32
+	bad     [buckets]uint32
 }
 
 func (s *series) add(now time.Time, bad bool) {
 	m := now.Unix() / 60
 	i := m % buckets
-	if s.minute[i] != m {
-		s.minute[i], s.total[i], s.bad[i] = m, 0, 0
+	if s.minutes[i] != m {
+		s.minutes[i], s.total[i], s.bad[i] = m, 0, 0
 	}
 	s.total[i]++
 	if bad {
@@ -29,11 +29,11 @@
 	}
 }
 
-func (s *series) sum(now time.Time, span time.Duration) (total, bad uint64) {
+func (s *series) sum(now time.Time, window time.Duration) (total, bad uint64) {
 	m := now.Unix() / 60
-	for k := range int64(span / bucketSize) {
+	for k := range int64(window / bucketSize) {
 		i := (m - k) % buckets
-		if s.minute[i] == m-k {
+		if s.minutes[i] == m-k {
 			total += uint64(s.total[i])
 			bad += uint64(s.bad[i])
 		}
