--- a/result/result_test.go
+++ b/result/result_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestTable checks that docs/RESULT-CODES.md is what the code says.
+// TestTable checks that docs/RESULT-CODES.md is current.
 func TestTable(t *testing.T) {
 	doc, err := os.ReadFile("../docs/RESULT-CODES.md")
 	if err != nil {
@@ -16,8 +16,8 @@
 	}
 }
 
-// TestCodes checks that numbers and names are used once, and that only codes
-// that can't have run promise so.
+// TestCodes checks that numbers and names are unique, that every code is explained, and
+// that only codes of requests that can't have run guarantee so.
 func TestCodes(t *testing.T) {
 	numbers, names := map[Code]bool{}, map[string]bool{}
 	for _, i := range All() {
@@ -26,13 +26,13 @@
 		}
 		numbers[i.Code], names[i.Name] = true, true
 		if i.NotRun && i.Code >= 400 {
-			t.Errorf("%d %s promises that nothing ran", i.Code, i.Name)
+			t.Errorf("%d %s promises that the request did not run", i.Code, i.Name)
 		}
 		if i.Meaning == "" || i.Operator == "" {
 			t.Errorf("%d %s is not explained", i.Code, i.Name)
 		}
 	}
 	if Code(999).Info().NotRun {
-		t.Error("an unlisted code promises that nothing ran")
+		t.Error("an unlisted code promises that the request did not run")
 	}
 }
--- a/result/table.go
+++ b/result/table.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// Markdown returns the table of docs/RESULT-CODES.md.
+// Markdown returns the contents of docs/RESULT-CODES.md.
 func Markdown() string {
 	var b strings.Builder
-	b.WriteString("# Result codes\n\nGenerated from package result by `embercove codes`; a test keeps both equal.\n\n")
+	b.WriteString("# Result codes\n\nGenerated from package result by `embercove codes`; a test checks that this page is current.\n\n")
 	b.WriteString("| code | name | HTTP status | not run | retry | meaning | what an operator does |\n")
 	b.WriteString("| --- | --- | --- | --- | --- | --- | --- |\n")
 	for _, i := range infos {
