--- a/request/fingerprint.go
+++ b/request/fingerprint.go
@@ -8,18 +8,18 @@
 	"github.com/pkg/errors"
 )
 
-// Fingerprint names what a request asks for: two requests have the same one if their team,
-// host name, method, path with its query, and body are the same. It is the first half of a
-// SHA-256 sum, so that hosts compute it alike and nobody finds a request of their own with
-// the fingerprint of another team's.
+// Fingerprint identifies the content of a request: two requests have the same one if their
+// team, host name, method, path with query, and body are equal. It is the first half of a
+// SHA-256 sum, so that all hosts compute the same one, and no caller can construct a
+// request with the fingerprint of another team's.
 type Fingerprint [fingerprintSize]byte
 
-// fingerprintSize is the size of a fingerprint, in bytes. To meet a given one takes some
-// 2^128 tries.
+// fingerprintSize is the size of a fingerprint, in bytes. Finding a request with a given
+// fingerprint takes some 2^128 tries.
 const fingerprintSize = 16
 
-// FingerprintOf returns the fingerprint of a request. Each part goes in with its length, so
-// that the end of one can't pass for the beginning of the next.
+// FingerprintOf returns the fingerprint of a request. Each part is hashed with its length,
+// so that the end of one can't be taken for the beginning of the next.
 func FingerprintOf(team, host, method, target string, body []byte) (f Fingerprint) {
 	sum := sha256.New()
 	var length [8]byte
@@ -32,13 +32,13 @@
 	return f
 }
 
-// IsZero reports whether f names no request.
+// IsZero reports whether f is unset.
 func (f Fingerprint) IsZero() bool { return f == Fingerprint{} }
 
 // String returns the fingerprint in hex.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// ParseFingerprint reads the form that String writes.
+// ParseFingerprint parses the form that String returns.
 func ParseFingerprint(s string) (f Fingerprint, err error) {
 	src, err := hex.DecodeString(s)
 	if err != nil || len(src) != len(f) {
--- a/request/id.go
+++ b/request/id.go
@@ -1,4 +1,4 @@
-// Package request names requests and their attempts across processes.
+// Package request identifies requests and their attempts across processes.
 package request
 
 import (
@@ -9,20 +9,18 @@
 	"github.com/pkg/errors"
 )
 
-// ID identifies a request: the entry host that took it, that process's
-// incarnation and a counter. No two requests share one, because a restarted
-// process has another incarnation.
+// ID identifies a request by the entry host that received it, the incarnation of that
+// process and a counter. It is unique, because a restarted process has another incarnation.
 type ID struct {
 	Host        uint32 // HostNumber of the entry host's name
 	Incarnation uint64 // start of the process, ms since 1970
 	Counter     uint64
 }
 
-// HostNumber returns the short number that stands for a host's name in IDs
-// and messages.
+// HostNumber returns the short number that identifies a host name in IDs and messages.
 func HostNumber(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
-// IsZero reports whether id names no request.
+// IsZero reports whether id is unset.
 func (id ID) IsZero() bool { return id == ID{} }
 
 // String returns the form host-incarnation-counter, in base 36.
@@ -32,8 +30,8 @@
 		strconv.FormatUint(id.Counter, 36)
 }
 
-// Parse reads the form that String writes. Endpoints report work of others
-// too, so an error is ordinary: it means that the work isn't embercove's.
+// Parse parses the form that String returns. Endpoints also report requests of other
+// clients, so an error is normal: it means that the request isn't embercove's.
 func Parse(s string) (ID, error) {
 	parts := strings.Split(s, "-")
 	if len(parts) != 3 {
@@ -54,19 +52,18 @@
 	return ID{Host: uint32(host), Incarnation: inc, Counter: n}, nil
 }
 
-// Attempt is one try at a request. Late answers of earlier attempts are
-// told apart by the number.
+// Attempt is one try at a request. Its number tells late answers of earlier attempts apart.
 type Attempt struct {
 	ID     ID
 	Number uint32
 }
 
-// String returns the form that endpoints are given as the request's id.
+// String returns the form that endpoints receive as the request id.
 func (a Attempt) String() string {
 	return a.ID.String() + "." + strconv.FormatUint(uint64(a.Number), 36)
 }
 
-// ParseAttempt reads the form that Attempt.String writes.
+// ParseAttempt parses the form that Attempt.String returns.
 func ParseAttempt(s string) (Attempt, error) {
 	base, num, ok := strings.Cut(s, ".")
 	if !ok {
--- a/request/origin.go
+++ b/request/origin.go
@@ -5,13 +5,12 @@
 	"net/url"
 )
 
-// Origin is a caller's request as it came, for protocols that pass it on
-// unchanged.
+// Origin is a caller's request as received, for protocols that forward it unchanged.
 type Origin struct {
-	ID     string // the caller's own name for this try; empty if it gave none
+	ID     string // the caller's own id of this try; empty: none
 	Method string
 	URL    *url.URL // path and query
 	Host   string
-	Header http.Header // without what concerns one connection only
+	Header http.Header // without hop-by-hop headers
 	Body   []byte
 }
