--- a/endpoint/client.go
+++ b/endpoint/client.go
@@ -17,22 +17,21 @@
 	"github.com/embercove/embercove/meter"
 )
 
-// Limits of what is read from an endpoint outside of answers.
+// Size limits of response bodies that aren't forwarded.
 const (
-	maxReport  = 4 << 20
+	maxBody    = 4 << 20
 	maxProblem = 4 << 10
 )
 
-// Dial opens a connection to an IP:port; tests put a network of their own
-// in its place.
+// Dial opens a connection to an IP:port; tests replace it with a network of their own.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
 // Client calls endpoints. Its methods are safe for concurrent use.
 type Client struct {
-	Control meter.Traffic // polls, lists, aborts and orders
+	Control meter.Traffic // traffic of polls, lists, aborts and orders
 
-	hc   *http.Client // requests and answers
-	ctrl *http.Client // control, on connections of its own
+	requestClient *http.Client // requests and answers
+	controlClient *http.Client // control calls, on connections of their own
 }
 
 // NewClient returns a client. A nil dial uses TCP.
@@ -41,8 +40,8 @@
 		dial = (&net.Dialer{Timeout: 2 * time.Second}).DialContext
 	}
 	c := new(Client)
-	c.hc = newHTTP(dial)
-	c.ctrl = newHTTP(Dial(meter.Counted(meter.Dial(dial), &c.Control)))
+	c.requestClient = newHTTP(dial)
+	c.controlClient = newHTTP(Dial(meter.Counted(meter.Dial(dial), &c.Control)))
 	return c
 }
 
@@ -56,15 +55,14 @@
 	}
 }
 
-// CloseIdle closes connections that no call uses.
+// CloseIdle closes idle connections.
 func (c *Client) CloseIdle() {
-	c.hc.CloseIdleConnections()
-	c.ctrl.CloseIdleConnections()
+	c.requestClient.CloseIdleConnections()
+	c.controlClient.CloseIdleConnections()
 }
 
-// do sends a request whose effect matters. The request is given no GetBody
-// and no idempotency header, because net/http would then send it again by
-// itself on a broken connection.
+// do sends a request that may change something. It sets neither GetBody nor an idempotency
+// header, because net/http would then resend the request by itself on a broken connection.
 func (c *Client) do(ctx context.Context, hc *http.Client, method, addr, path string, header http.Header, body []byte) (*http.Response, error) {
 	var sent atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent.Store(true) }}
@@ -73,8 +71,8 @@
 	if err != nil {
 		return nil, &CallError{Address: addr, Cause: err}
 	}
-	// The body is never http.NoBody: net/http sends a GET without a body
-	// again by itself, and some calls may not be repeated.
+	// The body is never http.NoBody: net/http resends a GET without a body by itself, and
+	// some calls may not be repeated.
 	req.ContentLength = int64(len(body))
 	req.GetBody = nil
 	if header != nil {
@@ -87,8 +85,8 @@
 	return res, nil
 }
 
-// problem reads an error answer.
-func problem(addr string, res *http.Response) error {
+// parseProblem reads an error response.
+func parseProblem(addr string, res *http.Response) error {
 	defer res.Body.Close()
 	body, _ := io.ReadAll(io.LimitReader(res.Body, maxProblem))
 	p := Problem{}
@@ -98,9 +96,9 @@
 	return &CallError{Address: addr, Status: res.StatusCode, MayHaveRun: !p.NotRun, Cause: errors.New(p.Error)}
 }
 
-// setOwn sets the headers by which an endpoint knows a call, whatever the caller had
-// set.
-func (c *Call) setOwn(h http.Header) {
+// setHeaders sets the headers that identify a call to an endpoint, replacing any that the
+// caller sent.
+func (c *Call) setHeaders(h http.Header) {
 	h.Set(HeaderRequestID, c.Attempt)
 	h.Del(HeaderTeam)
 	if c.Team != "" {
@@ -111,53 +109,54 @@
 	}
 }
 
-// Call names one attempt at one endpoint.
+// Call describes one attempt at one endpoint.
 type Call struct {
 	Address    string
-	Name       string // of the endpoint that is meant; empty: whoever has the address
+	Name       string // of the intended endpoint; empty: any endpoint with this address
 	Attempt    string
-	Version    string // model version asked for; empty: any
-	KeepMillis int    // how long the endpoint keeps an exported result
-	Team       string // that the request belongs to; empty: none has to answer for it
+	Version    string // requested model version; empty: any
+	KeepMillis int    // how long the endpoint keeps an exported prefill result
+	Team       string // team of the request; empty: none
 	Repeatable bool
-	// Hear is told what the head of the answer says of the endpoint, as the head arrives; nil:
-	// nobody is.
+	// Hear receives the notices in the head of the answer, as it arrives; nil: they are
+	// ignored.
 	Hear func(Notice)
 }
 
-// hear tells what an answer's head says of the endpoint.
-func (c *Call) hear(res *http.Response) {
+// notify passes on the notices in the head of an answer.
+func (c *Call) notify(res *http.Response) {
 	if c.Hear != nil {
-		c.Hear(noticeOf(res))
+		c.Hear(parseNotice(res))
 	}
 }
 
-// noticeOf reads an answer's head. An endpoint that leaves says so in its report.
-func noticeOf(res *http.Response) Notice {
+// parseNotice reads the notices in the head of an answer. An endpoint that is leaving says
+// so in its report instead.
+func parseNotice(res *http.Response) Notice {
 	n := Notice{Limit: ReadLimit(res.Header.Values(HeaderLimit)), Certain: true}
 	n.ReadRest(res.StatusCode, res.Header)
 	return n
 }
 
-// post sends a completion to the endpoint of a call and returns its answer, of
-// which the caller closes the body.
+// post sends a completion to the endpoint of a call and returns the response. The caller
+// closes its body.
 func (c *Client) post(ctx context.Context, call Call, comp Completion) (*http.Response, error) {
 	body, err := json.Marshal(comp)
 	if err != nil {
 		return nil, &CallError{Address: call.Address, Cause: err}
 	}
 	header := http.Header{"Content-Type": {"application/json"}}
-	call.setOwn(header)
+	call.setHeaders(header)
 	if call.Version != "" {
 		header.Set(HeaderVersion, call.Version)
 	}
-	res, err := c.do(ctx, c.hc, http.MethodPost, call.Address, PathCompletions, header, body)
+	res, err := c.do(ctx, c.requestClient, http.MethodPost, call.Address, PathCompletions, header, body)
 	if err != nil {
 		return nil, err
 	}
-	call.hear(res)
+	call.notify(res)
 	if res.StatusCode != http.StatusOK {
-		return nil, problem(call.Address, res)
+		return nil, parseProblem(call.Address, res)
 	}
 	return res, nil
 }
@@ -176,37 +175,37 @@
 	}
 	defer res.Body.Close()
 	ans := new(PrefillAnswer)
-	if err := json.NewDecoder(io.LimitReader(res.Body, maxReport)).Decode(ans); err != nil {
+	if err := json.NewDecoder(io.LimitReader(res.Body, maxBody)).Decode(ans); err != nil {
 		return nil, &CallError{Address: call.Address, Status: res.StatusCode, MayHaveRun: true, Cause: err}
 	}
 	if ans.ID != call.Attempt || ans.Transfer == nil {
 		return nil, &CallError{Address: call.Address, Status: res.StatusCode, MayHaveRun: true,
-			Cause: errors.Errorf("answer of %q for %q", ans.ID, call.Attempt)}
+			Cause: errors.Errorf("answer to attempt %q, want one to %q", ans.ID, call.Attempt)}
 	}
 	return ans, nil
 }
 
-// Service implements Engine. An answer of any status counts as having run,
-// unless the service vouches otherwise.
+// Service implements Engine. An answer with any status counts as having run, unless the
+// service vouches otherwise.
 func (c *Client) Service(ctx context.Context, call Call, work *Work) (*Answer, error) {
 	header := work.Origin.Header.Clone()
 	if header == nil {
 		header = http.Header{}
 	}
-	call.setOwn(header)
-	res, err := c.do(ctx, c.hc, work.Origin.Method, call.Address, work.Origin.URL.RequestURI(), header, work.Origin.Body)
+	call.setHeaders(header)
+	res, err := c.do(ctx, c.requestClient, work.Origin.Method, call.Address, work.Origin.URL.RequestURI(), header, work.Origin.Body)
 	if err != nil {
 		return nil, err
 	}
-	call.hear(res)
+	call.notify(res)
 	if res.StatusCode == http.StatusServiceUnavailable {
-		return nil, problem(call.Address, res)
+		return nil, parseProblem(call.Address, res)
 	}
 	return &Answer{AnswerHead: AnswerHead{Status: res.StatusCode, Header: res.Header}, Length: res.ContentLength, Body: res.Body}, nil
 }
 
-// report gets or posts a small JSON document.
-func (c *Client) report(ctx context.Context, method, addr, path string, in, out any) error {
+// controlCall gets or posts a small JSON document.
+func (c *Client) controlCall(ctx context.Context, method, addr, path string, in, out any) error {
 	var body []byte
 	if in != nil {
 		var err error
@@ -214,53 +213,53 @@
 			return errors.Wrap(err, path)
 		}
 	}
-	res, err := c.do(ctx, c.ctrl, method, addr, path, nil, body)
+	res, err := c.do(ctx, c.controlClient, method, addr, path, nil, body)
 	if err != nil {
 		return err
 	}
 	if res.StatusCode != http.StatusOK {
-		return problem(addr, res)
+		return parseProblem(addr, res)
 	}
 	defer res.Body.Close()
 	if s, is := out.(*State); is {
-		s.Notice = noticeOf(res)
+		s.Notice = parseNotice(res)
 	}
 	if out == nil {
-		_, err = io.Copy(io.Discard, io.LimitReader(res.Body, maxReport))
+		_, err = io.Copy(io.Discard, io.LimitReader(res.Body, maxBody))
 		return errors.Wrap(err, path)
 	}
-	return errors.Wrap(json.NewDecoder(io.LimitReader(res.Body, maxReport)).Decode(out), path)
+	return errors.Wrap(json.NewDecoder(io.LimitReader(res.Body, maxBody)).Decode(out), path)
 }
 
 // State implements Engine.
 func (c *Client) State(ctx context.Context, addr string) (*State, error) {
 	s := new(State)
-	return s, c.report(ctx, http.MethodGet, addr, PathState, nil, s)
+	return s, c.controlCall(ctx, http.MethodGet, addr, PathState, nil, s)
 }
 
 // Requests implements Engine.
 func (c *Client) Requests(ctx context.Context, addr string) ([]Running, error) {
 	var l RunningList
-	err := c.report(ctx, http.MethodGet, addr, PathRequests, nil, &l)
+	err := c.controlCall(ctx, http.MethodGet, addr, PathRequests, nil, &l)
 	return l.Requests, err
 }
 
-// Discard implements Engine. The project's own engines free a result when its
+// Discard implements Engine. Engines of embercove's own protocol free a result when its
 // attempt is aborted.
 func (c *Client) Discard(context.Context, *Transfer) error { return nil }
 
 // Abort implements Engine.
 func (c *Client) Abort(ctx context.Context, addr, id string) error {
-	return c.report(ctx, http.MethodPost, addr, PathAbort, Abort{ID: id}, nil)
+	return c.controlCall(ctx, http.MethodPost, addr, PathAbort, Abort{ID: id}, nil)
 }
 
 // CacheEvents implements Engine.
 func (c *Client) CacheEvents(ctx context.Context, addr string, after uint64) (*CacheEvents, error) {
 	e := new(CacheEvents)
-	return e, c.report(ctx, http.MethodGet, addr, fmt.Sprintf("%s?after=%d", PathCacheEvents, after), nil, e)
+	return e, c.controlCall(ctx, http.MethodGet, addr, fmt.Sprintf("%s?after=%d", PathCacheEvents, after), nil, e)
 }
 
-// Order implements Engine. A refused fence is a CallError with status 409.
+// Order implements Engine. An order refused for its fence is a CallError with status 409.
 func (c *Client) Order(ctx context.Context, addr string, o Order) error {
-	return c.report(ctx, http.MethodPost, addr, PathOrders, o, nil)
+	return c.controlCall(ctx, http.MethodPost, addr, PathOrders, o, nil)
 }
--- a/endpoint/client_test.go
+++ b/endpoint/client_test.go
@@ -14,14 +14,14 @@
 	"github.com/embercove/embercove/request"
 )
 
-// flaky accepts connections, answers the first call on each and closes the
-// connection after reading the second without an answer. It counts calls.
-type flaky struct {
+// flakyServer answers the first call on each connection, and closes the connection without
+// an answer after reading the second. It counts calls.
+type flakyServer struct {
 	mu    sync.Mutex
 	calls int
 }
 
-func (f *flaky) serve(l net.Listener) {
+func (f *flakyServer) serve(l net.Listener) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
@@ -48,9 +48,9 @@
 	}
 }
 
-// TestNoResend checks that a call whose connection breaks is not sent again by
-// net/http behind our back: on a kept connection it would, for a GET without
-// a body and for a body that it can read anew.
+// TestNoResend checks that net/http doesn't resend a call by itself when its connection
+// breaks. On a reused connection it would do so for a GET without a body, and for a body
+// that it can read again.
 func TestNoResend(t *testing.T) {
 	for _, method := range []string{"GET", "POST"} {
 		t.Run(method, func(t *testing.T) {
@@ -59,7 +59,7 @@
 				t.Fatal(err)
 			}
 			defer l.Close()
-			f := new(flaky)
+			f := new(flakyServer)
 			go f.serve(l)
 			c := NewClient(nil)
 			defer c.CloseIdle()
@@ -77,7 +77,7 @@
 			res.Body.Close()
 			_, err = c.Service(context.Background(), call, work)
 			if !MayHaveRun(err) {
-				t.Errorf("err %v: want one that may have run", err)
+				t.Errorf("err %v: want an error after which the call may have run", err)
 			}
 			if f.calls != 2 {
 				t.Errorf("%d calls arrived, want 2", f.calls)
@@ -86,7 +86,7 @@
 	}
 }
 
-// TestStream reads streams that end in every way.
+// TestStream reads streams that end in different ways.
 func TestStream(t *testing.T) {
 	chunk := func(id string) string { return `data: {"id": "` + id + `", "choices": [{"text": "a"}]}` + "\n\n" }
 	cases := []struct {
@@ -95,7 +95,7 @@
 		err       string
 	}{
 		{"whole", chunk("1") + "data: [DONE]\n\n", 1, "EOF"},
-		{"no mark", chunk("1"), 1, "unexpected EOF"},
+		{"no end marker", chunk("1"), 1, "unexpected EOF"},
 		{"half a line", chunk("1") + "data: {", 1, "unexpected EOF"},
 		{"another's chunk", chunk("1") + chunk("2"), 1, "another attempt"},
 		{"not JSON", "data: {]\n", 0, "chunk: invalid"},
--- a/endpoint/limit.go
+++ b/endpoint/limit.go
@@ -6,28 +6,28 @@
 	"strings"
 )
 
-// Said is what the head of an answer says of how many requests a second its endpoint takes,
-// from all hosts together. The zero value: it names no limit.
-type Said struct {
+// RateLimit is the limit in the head of an answer: how many requests per second the
+// endpoint takes from all hosts together. The zero value means that it names none.
+type RateLimit struct {
 	Named      bool
 	PerSecond  float64 // requests
-	Unreadable string  // what was named and can't be read, quoted; empty: nothing
+	Unreadable string  // a limit that can't be parsed, quoted; empty: none
 }
 
-// decimalDigits are the signs of a decimal number. Others that strconv takes, as of infinities
-// and hexadecimal numbers, are no rate.
+// decimalDigits are the characters of a decimal number. Other forms that strconv accepts,
+// such as infinities and hexadecimal numbers, are not valid rates.
 const decimalDigits = "0123456789."
 
-// ReadLimit reads a limit from the values of its header. Of several the lowest one holds.
-func ReadLimit(values []string) (s Said) {
+// ReadLimit parses the values of the limit header. The lowest of several limits applies.
+func ReadLimit(values []string) (s RateLimit) {
 	for _, v := range values {
 		v = strings.TrimSpace(v)
 		n, err := strconv.ParseFloat(v, 64)
 		if err != nil || math.IsInf(n, 0) || strings.Trim(v, decimalDigits) != "" {
-			return Said{Unreadable: strconv.Quote(v)}
+			return RateLimit{Unreadable: strconv.Quote(v)}
 		}
 		if !s.Named || n < s.PerSecond {
-			s = Said{Named: true, PerSecond: n}
+			s = RateLimit{Named: true, PerSecond: n}
 		}
 	}
 	return s
--- a/endpoint/notice.go
+++ b/endpoint/notice.go
@@ -7,30 +7,32 @@
 	"time"
 )
 
-// Notice is what the head of an answer says of its endpoint, besides the answer itself. The zero
-// value says nothing.
+// Notice is what the head of an answer says about its endpoint. The zero value says
+// nothing.
 type Notice struct {
-	Limit Said
-	// Certain is set where the answer is surely one to the call. Only then does it take back a
-	// limit that it doesn't name.
+	Limit RateLimit
+	// Certain is set if the answer surely belongs to the call. Only then does an answer
+	// without a limit cancel an earlier one.
 	Certain bool
-	Leaving bool // the endpoint is about to end
-	// Rest is for how long the endpoint wants no request of this host; 0: it asks for no rest.
+	Leaving bool // the endpoint is about to stop
+	// Rest is how long the endpoint wants no request from this host; 0: it asks for no
+	// backoff.
 	Rest           time.Duration
-	UnreadableRest string // a rest that was asked for and can't be read, quoted; empty: none
+	UnreadableRest string // a backoff that can't be parsed, quoted; empty: none
 }
 
-// MostRest bounds the rest that an endpoint is given.
+// MostRest bounds the backoff that an endpoint can ask for.
 const MostRest = time.Hour
 
-// ReadRest reads for how long an endpoint that turned a request away wants no other one. Other
-// answers ask for none. Of several values the longest holds. A date counts from that of the answer.
+// ReadRest parses the backoff that an endpoint asks for when it refuses a request. Other
+// answers ask for none. The longest of several values applies. A date is relative to the
+// date of the answer.
 func (n *Notice) ReadRest(status int, h http.Header) {
 	if status != http.StatusServiceUnavailable && status != http.StatusTooManyRequests {
 		return
 	}
 	for _, v := range h.Values("Retry-After") {
-		rest, ok := readRest(strings.TrimSpace(v), h.Get("Date"))
+		rest, ok := parseBackoff(strings.TrimSpace(v), h.Get("Date"))
 		if !ok {
 			n.UnreadableRest = strconv.Quote(v)
 			continue
@@ -39,8 +41,8 @@
 	}
 }
 
-// readRest reads a time in seconds, which may have a fraction, or a date.
-func readRest(v, date string) (time.Duration, bool) {
+// parseBackoff parses a time in seconds, which may have a fraction, or a date.
+func parseBackoff(v, date string) (time.Duration, bool) {
 	if strings.Trim(v, decimalDigits) == "" {
 		seconds, err := strconv.ParseFloat(v, 64)
 		return time.Duration(min(seconds, MostRest.Seconds()) * float64(time.Second)), err == nil
--- a/endpoint/notice_test.go
+++ b/endpoint/notice_test.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// TestReadRest reads rests that endpoints ask for, and values that ask for none.
+// TestReadRest parses valid backoffs, and values that are none.
 func TestReadRest(t *testing.T) {
 	const noon = "Thu, 03 Dec 2026 12:00:00 GMT"
 	for _, tc := range []struct {
-		name   string
-		status int
-		values []string
-		date   string
-		rest   time.Duration
-		slip   string
+		name       string
+		status     int
+		values     []string
+		date       string
+		rest       time.Duration
+		unreadable string
 	}{
 		{"none", 503, nil, "", 0, ""},
 		{"seconds", 503, []string{"3"}, "", 3 * time.Second, ""},
@@ -45,8 +45,8 @@
 			}
 			var n Notice
 			n.ReadRest(tc.status, h)
-			if n.Rest != tc.rest || n.UnreadableRest != tc.slip {
-				t.Errorf("%v, slip %q; want %v, slip %q", n.Rest, n.UnreadableRest, tc.rest, tc.slip)
+			if n.Rest != tc.rest || n.UnreadableRest != tc.unreadable {
+				t.Errorf("%v, unreadable %q; want %v, unreadable %q", n.Rest, n.UnreadableRest, tc.rest, tc.unreadable)
 			}
 		})
 	}
--- a/endpoint/stream.go
+++ b/endpoint/stream.go
@@ -11,7 +11,7 @@
 	"github.com/pkg/errors"
 )
 
-// tokenStream is a decode engine's answer in progress.
+// tokenStream is an answer that a decode engine is streaming.
 type tokenStream struct {
 	addr    string
 	attempt string
@@ -20,10 +20,10 @@
 	done    bool
 }
 
-// maxEvent bounds one line of a stream.
+// maxEvent bounds the length of a line in a stream.
 const maxEvent = 256 << 10
 
-// Decode implements Engine. ctx ends the stream too.
+// Decode implements Engine. Cancelling ctx also ends the stream.
 func (c *Client) Decode(ctx context.Context, call Call, work *Work) (Stream, error) {
 	comp := work.Completion
 	comp.Stream = true
@@ -34,14 +34,14 @@
 	return &tokenStream{addr: call.Address, attempt: call.Attempt, body: res.Body, r: bufio.NewReaderSize(res.Body, 4096)}, nil
 }
 
-// ErrForeignAnswer is returned for a chunk that belongs to another attempt.
+// ErrForeignAnswer is returned for a chunk of another attempt.
 var ErrForeignAnswer = errors.New("chunk of another attempt")
 
 // Head implements Stream.
 func (s *tokenStream) Head() *AnswerHead { return nil }
 
-// Next implements Stream. The engine's mark of the end is what a whole answer
-// ends with; whether its last token was among it is for the reader to see.
+// Next implements Stream. A complete answer ends with the engine's end marker; the caller
+// checks whether the last token came before it.
 func (s *tokenStream) Next() (*Chunk, error) {
 	for {
 		if s.done {
@@ -49,13 +49,13 @@
 		}
 		line, err := s.r.ReadSlice('\n')
 		if err == io.EOF {
-			return nil, s.fail(io.ErrUnexpectedEOF)
+			return nil, s.callError(io.ErrUnexpectedEOF)
 		}
 		if errors.Is(err, bufio.ErrBufferFull) {
-			line, err = s.longLine(line)
+			line, err = s.readLongLine(line)
 		}
 		if err != nil {
-			return nil, s.fail(err)
+			return nil, s.callError(err)
 		}
 		data, ok := bytes.CutPrefix(bytes.TrimSpace(line), []byte("data: "))
 		if !ok {
@@ -67,17 +67,17 @@
 		}
 		c := new(Chunk)
 		if err := json.Unmarshal(data, c); err != nil {
-			return nil, s.fail(errors.Wrap(err, "chunk"))
+			return nil, s.callError(errors.Wrap(err, "chunk"))
 		}
 		if c.ID != s.attempt {
-			return nil, s.fail(ErrForeignAnswer)
+			return nil, s.callError(ErrForeignAnswer)
 		}
 		return c, nil
 	}
 }
 
-// longLine reads on to the end of a line that the buffer couldn't hold.
-func (s *tokenStream) longLine(head []byte) ([]byte, error) {
+// readLongLine reads the rest of a line that doesn't fit into the buffer.
+func (s *tokenStream) readLongLine(head []byte) ([]byte, error) {
 	line := append([]byte(nil), head...)
 	for len(line) < maxEvent {
 		part, err := s.r.ReadSlice('\n')
@@ -89,7 +89,7 @@
 	return nil, errors.New("event is too long")
 }
 
-func (s *tokenStream) fail(err error) error {
+func (s *tokenStream) callError(err error) error {
 	return &CallError{Address: s.addr, Status: http.StatusOK, MayHaveRun: true, Cause: err}
 }
 
--- a/endpoint/wire.go
+++ b/endpoint/wire.go
@@ -1,10 +1,9 @@
-// Package endpoint talks to model runners and plain services.
+// Package endpoint calls model runners and plain services.
 //
-// Engine is what the router asks of a protocol. Client is the project's own:
-// HTTP with JSON bodies and server-sent events, in the manner of the OpenAI
-// API with kv_transfer_params for the hand-over between prefill and decode.
-// Nothing here decides: which endpoint is called, and whether again, is its
-// callers' business.
+// Engine is the interface that the router needs of a protocol. Client implements
+// embercove's own: HTTP with JSON bodies and server-sent events, similar to the OpenAI API,
+// with kv_transfer_params for the transfer of KV cache between prefill and decode. Nothing
+// here makes decisions: callers choose the endpoint and whether to call again.
 package endpoint
 
 import (
@@ -21,23 +20,24 @@
 	PathOrders      = "/orders"
 )
 
-// Headers that endpoints are given.
+// Headers of calls to endpoints.
 const (
 	HeaderRequestID  = "X-Request-Id"
 	HeaderVersion    = "X-Model-Version"
 	HeaderRepeatable = "X-Repeatable"
-	HeaderTeam       = "X-Team" // that the request belongs to
+	HeaderTeam       = "X-Team" // team of the request
 )
 
-// HeaderLimit is how an endpoint in need names in its answers how many requests a second it
-// takes, from all hosts together and for as long as it says so.
+// HeaderLimit is the header in which an overloaded endpoint names how many requests per
+// second it takes, from all hosts together. The limit holds for as long as its answers name
+// it.
 const HeaderLimit = "X-Request-Limit"
 
-// BytesPerToken is how many bytes of prompt the router counts as one token.
-// Engines count for themselves; the router's figure only has to be close.
+// BytesPerToken is the router's estimate of prompt bytes per token. Engines count tokens
+// themselves; the estimate only has to be close.
 const BytesPerToken = 4
 
-// Tokens returns the router's count of tokens in n bytes of prompt.
+// Tokens returns the router's estimate of the tokens in n bytes of prompt.
 func Tokens(n int) int { return (n + BytesPerToken - 1) / BytesPerToken }
 
 // BlockBytes is the size of a prefix block in bytes of prompt.
@@ -46,8 +46,8 @@
 // BlockTokens is the size of a prefix block in tokens.
 const BlockTokens = BlockBytes / BytesPerToken
 
-// Head returns the number of the prompt's first block, by which caches are
-// told apart, and whether the prompt is long enough to have one.
+// Head returns the hash of the prompt's first block, which identifies its cache entries,
+// and whether the prompt is long enough to have one.
 func Head(prompt string) (uint32, bool) {
 	if len(prompt) < BlockBytes {
 		return 0, false
@@ -55,7 +55,7 @@
 	return uint32(xxhash.Sum64String(prompt[:BlockBytes])), true
 }
 
-// Blocks returns the chained hash of each whole block of the prompt.
+// Blocks returns the chained hash of each complete block of the prompt.
 func Blocks(prompt string) []uint64 {
 	out := make([]uint64, 0, len(prompt)/BlockBytes)
 	d := xxhash.New()
@@ -67,7 +67,7 @@
 	return out
 }
 
-// Completion is the body of a completion call, to prefill and decode alike.
+// Completion is the body of a completion call, for prefill and for decode.
 type Completion struct {
 	Model      string    `json:"model"`
 	Prompt     string    `json:"prompt"`
@@ -78,7 +78,7 @@
 	Transfer   *Transfer `json:"kv_transfer_params,omitempty"`
 }
 
-// Transfer says how KV cache is handed over.
+// Transfer describes the transfer of a KV cache.
 type Transfer struct {
 	RemoteDecode  bool   `json:"do_remote_decode,omitempty"`
 	RemotePrefill bool   `json:"do_remote_prefill,omitempty"`
@@ -95,14 +95,14 @@
 	CachedTokens     int `json:"cached_tokens,omitempty"`
 }
 
-// PrefillAnswer is what a prefill engine answers.
+// PrefillAnswer is the answer of a prefill engine.
 type PrefillAnswer struct {
 	ID       string    `json:"id"`
 	Usage    Usage     `json:"usage"`
 	Transfer *Transfer `json:"kv_transfer_params"`
 }
 
-// Choice is one piece of a streamed answer.
+// Choice is one part of a streamed answer.
 type Choice struct {
 	Index        int    `json:"index"`
 	Text         string `json:"text"`
@@ -118,19 +118,19 @@
 	Usage    *Usage   `json:"usage,omitempty"`
 	Imported *int64   `json:"imported_bytes,omitempty"`
 
-	// Raw is the piece as it goes to the caller, and Mark names it, in
-	// protocols whose pieces are passed on as they came.
+	// Raw is the chunk as it is sent to the caller, and Mark its event id, in protocols
+	// whose chunks are forwarded unchanged.
 	Raw  []byte `json:"-"`
 	Mark string `json:"-"`
 }
 
-// Problem is the body of an endpoint's error answer.
+// Problem is the body of an endpoint's error response.
 type Problem struct {
 	Error  string `json:"error"`
 	NotRun bool   `json:"not_run"` // the endpoint vouches that nothing ran
 }
 
-// State is an endpoint's own report of its load. It lags.
+// State is an endpoint's own report of its load. It lags behind.
 type State struct {
 	Engine       string   `json:"engine"`
 	Incarnation  uint64   `json:"incarnation"`
@@ -138,24 +138,24 @@
 	Model        string   `json:"model"`
 	Version      string   `json:"version"`
 	Adapters     []string `json:"adapters,omitempty"`
-	Fence        uint64   `json:"fence"` // revision of the last order taken
+	Fence        uint64   `json:"fence"` // fence of the last order that it applied
 	Leaving      bool     `json:"leaving"`
 	MemoryUsed   int      `json:"memory_used"` // tokens
 	Running      int      `json:"running"`
 	QueuedTokens int      `json:"queued_tokens"`
-	// Held is the list of what the endpoint holds, in protocols whose
-	// reports carry it; Lists says so.
+	// Held is the list of the requests that the endpoint holds, in protocols whose reports
+	// include it; Lists says so.
 	Held   []Running `json:"-"`
 	Lists  bool      `json:"-"`
-	Notice Notice    `json:"-"` // by the report's head
+	Notice Notice    `json:"-"` // from the head of the report
 }
 
-// Running is one row of an endpoint's list of what it holds.
+// Running is one row of an endpoint's list of the requests it holds.
 type Running struct {
-	ID        string `json:"id"` // attempt, as given by HeaderRequestID
+	ID        string `json:"id"` // attempt, as sent in HeaderRequestID
 	Tokens    int    `json:"tokens"`
 	AgeMillis int    `json:"age_ms"`
-	Written   int    `json:"written,omitempty"` // tokens of the answer so far, where the endpoint tells
+	Written   int    `json:"written,omitempty"` // answer tokens so far, if the endpoint reports them
 }
 
 // RunningList is an endpoint's own list of requests that hold its memory.
@@ -163,36 +163,36 @@
 	Requests []Running `json:"requests"`
 }
 
-// Abort asks an endpoint to give up a request, every attempt of it if the
-// id carries no attempt number.
+// Abort asks an endpoint to cancel a request, or all its attempts if the id has no attempt
+// number.
 type Abort struct {
 	ID string `json:"rid"`
 }
 
-// CacheEvent tells that a prompt's head was stored or evicted.
+// CacheEvent reports that the head of a prompt was stored or evicted.
 type CacheEvent struct {
 	Head   uint32 `json:"head"`
-	Tokens int    `json:"tokens"` // cached from the start; 0: evicted
+	Tokens int    `json:"tokens"` // cached tokens from the start of the prompt; 0: evicted
 }
 
-// CacheEvents is a stretch of the event feed. A gap shows as First being
-// larger than the sequence number asked for.
+// CacheEvents is a section of the event feed. If First is larger than the requested
+// sequence number, events are missing.
 type CacheEvents struct {
-	// Epoch changes when the endpoint has restarted and forgotten all; 0 where
-	// the protocol doesn't tell.
+	// Epoch changes when the endpoint has restarted with an empty cache; 0: the protocol
+	// doesn't report it.
 	Epoch  uint64       `json:"epoch,omitempty"`
 	First  uint64       `json:"first"`
 	Next   uint64       `json:"next"`
 	Events []CacheEvent `json:"events"`
 }
 
-// Order brings an endpoint to a state. It is safe to repeat; an endpoint
-// that checks fences refuses one that is older than what it took.
+// Order orders an endpoint into a state. Repeating it is safe. An endpoint that checks
+// fences refuses an order that is older than the last one it applied.
 type Order struct {
 	Fence    uint64   `json:"fence"`
 	Role     string   `json:"role"`
 	Model    string   `json:"model"`
 	Version  string   `json:"version"`
 	Adapters []string `json:"adapters"`
-	Holder   string   `json:"holder,omitempty"` // host that gives the order
+	Holder   string   `json:"holder,omitempty"` // host that sends the order
 }
