--- a/endpoint/client.go
+++ b/endpoint/client.go
@@ -118,7 +118,7 @@
 	KeepMillis int    // how long the endpoint keeps an exported prefill result
 	Team       string // team of the request; empty: none
 	Repeatable bool
-	// Hear receives the notices in the head of the answer, as it arrives; nil: they are
+	// Called with the notices in the head of the answer, as it arrives; nil: they are
 	// ignored.
 	Hear func(Notice)
 }
--- a/endpoint/engine.go
+++ b/endpoint/engine.go
@@ -40,37 +40,35 @@
 
 // Traits are what a protocol guarantees about its endpoints.
 type Traits struct {
-	// ReadingRuns: a prefill counts as a run of its request. A request that may not be
-	// repeated is then prefilled only once.
+	// A prefill counts as a run of its request. A request that may not be repeated is then
+	// prefilled only once.
 	ReadingRuns bool
-	// HangUpAborts: closing the connection cancels its request, so no Abort is needed.
+	// Closing the connection cancels its request, so no Abort is needed.
 	HangUpAborts bool
-	// DecodeReads: a decode endpoint prefills a prompt itself if it receives no exported
-	// result.
+	// A decode endpoint prefills a prompt itself if it receives no exported result.
 	DecodeReads bool
-	// DecodeKeeps: a decode endpoint caches the prompts it has held while it has free
-	// memory, reports them in its cache feed, and doesn't prefill them again.
+	// A decode endpoint caches the prompts it has held while it has free memory, reports
+	// them in its cache feed, and doesn't prefill them again.
 	DecodeKeeps bool
-	// Copies: endpoints keep replicas of the KV cache of each other's runs, if their pool
-	// is configured so, and a run can resume from a replica.
+	// Endpoints keep replicas of the KV cache of each other's runs, if their pool is
+	// configured so, and a run can resume from a replica.
 	Copies bool
 }
 
 // Work is one request as engines receive it.
 type Work struct {
 	Completion
-	// Origin is the caller's own request, for protocols that forward it unchanged. It is
-	// always set for plain services.
+	// The caller's own request, for protocols that forward it unchanged. Always set for
+	// plain services.
 	Origin *request.Origin
-	// Until is the time at which the caller stops waiting, by package clock; zero: never.
+	// The time at which the caller stops waiting, by package clock; zero: never.
 	Until time.Time
-	// LastMark is the id of the last event that the caller received.
+	// The id of the last event that the caller received.
 	LastMark string
-	// Backup is the address of the endpoint that should keep a replica of the run's KV
-	// cache as it grows; empty: none.
+	// The address of the endpoint that should keep a replica of the run's KV cache as it
+	// grows; empty: none.
 	Backup string
-	// Copy is the replica that the answer resumes from, as the same run; nil: it is a new
-	// run.
+	// The replica that the answer resumes from, as the same run; nil: it is a new run.
 	Copy *Copy
 }
 
--- a/endpoint/notice.go
+++ b/endpoint/notice.go
@@ -11,12 +11,11 @@
 // nothing.
 type Notice struct {
 	Limit RateLimit
-	// Certain is set if the answer surely belongs to the call. Only then does an answer
-	// without a limit cancel an earlier one.
+	// Whether the answer surely belongs to the call. Only then does an answer without a
+	// limit cancel an earlier one.
 	Certain bool
 	Leaving bool // the endpoint is about to stop
-	// Rest is how long the endpoint wants no request from this host; 0: it asks for no
-	// backoff.
+	// How long the endpoint wants no request from this host; 0: it asks for no backoff.
 	Rest           time.Duration
 	UnreadableRest string // a backoff that can't be parsed, quoted; empty: none
 }
--- a/endpoint/wire.go
+++ b/endpoint/wire.go
@@ -118,8 +118,8 @@
 	Usage    *Usage   `json:"usage,omitempty"`
 	Imported *int64   `json:"imported_bytes,omitempty"`
 
-	// Raw is the chunk as it is sent to the caller, and Mark its event id, in protocols
-	// whose chunks are forwarded unchanged.
+	// The chunk as it is sent to the caller, and its event id, in protocols whose chunks
+	// are forwarded unchanged.
 	Raw  []byte `json:"-"`
 	Mark string `json:"-"`
 }
@@ -143,8 +143,8 @@
 	MemoryUsed   int      `json:"memory_used"` // tokens
 	Running      int      `json:"running"`
 	QueuedTokens int      `json:"queued_tokens"`
-	// Held is the list of the requests that the endpoint holds, in protocols whose reports
-	// include it; Lists says so.
+	// The requests that the endpoint holds, and whether its reports include them, as those
+	// of some protocols do.
 	Held   []Running `json:"-"`
 	Lists  bool      `json:"-"`
 	Notice Notice    `json:"-"` // from the head of the report
--- a/entry/call.go
+++ b/entry/call.go
@@ -25,7 +25,7 @@
 	Prompt   *Prompt         // nil: the call has none
 	Left     time.Duration   // until the caller times out; 0: unknown
 	LastMark string          // id of the last event that the caller received; empty: none
-	// Refuse reports a refusal or failure to the caller, in its protocol.
+	// Sends a refusal or failure to the caller, in its protocol.
 	Refuse func(w http.ResponseWriter, err *result.Error)
 }
 
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -53,8 +53,7 @@
 	sequence     atomic.Uint64 // for round robin and random seeds
 	Latency      LatencyRecorder
 	Copies       Copies
-	// CopyPolicy decides which answers get a replica of their KV cache. It is set before
-	// the entry serves.
+	// Decides which answers get a replica of their KV cache. Set before the entry serves.
 	CopyPolicy    copies.Policy
 	logLimiter    *lineLimiter
 	retryTimes    *retry.ComeBack
@@ -150,7 +149,7 @@
 // caller is the sender of a call that is not yet a job.
 type caller struct {
 	id string // the caller's own id of the call; empty: none
-	// refuse sends a refusal to the caller, in its protocol.
+	// Sends a refusal to the caller, in its protocol.
 	refuse func(w http.ResponseWriter, err *result.Error)
 }
 
