--- a/entry/away_test.go
+++ b/entry/away_test.go
@@ -37,9 +37,9 @@
 	}
 	leave := func(s *scene) { all(s, func(st *route.State) { st.Leaving = true }) }
 	cases := []struct {
-		name string
-		see  func(s *scene)
-		want string // region of the endpoint; empty: none
+		name  string
+		setup func(s *scene)
+		want  string // region of the endpoint; empty: none
 	}{
 		{"fast locally", slow(60 * ms), "north"},
 		{"too slow locally", slow(400 * ms), "south"},
@@ -96,7 +96,7 @@
 			e := &Entry{board: b}
 			j := &job{headers: headers{team: defaultTeam}, view: v, route: v.RouteFor("h", "/x"), pool: "web", tries: 1, arrived: now,
 				criteria: route.Request{Home: v.DomainIndex("a"), Region: v.RegionSet("north")}}
-			b.Endpoints.Read(func(fleet *route.Fleet) { tc.see(&scene{b, statesOf(fleet), j}) })
+			b.Endpoints.Read(func(fleet *route.Fleet) { tc.setup(&scene{b, statesOf(fleet), j}) })
 			got := ""
 			if spec := e.chooseService(j); spec != nil {
 				got = v.Region[spec.Domain]
--- a/entry/copy.go
+++ b/entry/copy.go
@@ -156,8 +156,8 @@
 // has one, its first engine no longer works on it, and calls may be sent to the replica's
 // engine.
 func (e *Entry) canResume(ctx context.Context, j *job, p *plan, err error) bool {
-	outcome := copies.End{Copied: p.replica != nil, CallerGone: ctx.Err() != nil, MayHaveRun: endpoint.MayHaveRun(err), Works: endpoint.GivenUp(err), Grown: j.answerAge()}
-	return outcome.GoesOn() && j.crashCount < maxCrashesPerAttempt && e.canSendTo(ctx, j, p.replica.spec) && e.barFor(j, p.replica.spec) == route.BarNone && e.retryBudgets.Further(j.pool, time.Now(), 1) &&
+	end := copies.End{Copied: p.replica != nil, CallerGone: ctx.Err() != nil, MayHaveRun: endpoint.MayHaveRun(err), Works: endpoint.GivenUp(err), Grown: j.answerAge()}
+	return end.GoesOn() && j.crashCount < maxCrashesPerAttempt && e.canSendTo(ctx, j, p.replica.spec) && e.barFor(j, p.replica.spec) == route.BarNone && e.retryBudgets.Further(j.pool, time.Now(), 1) &&
 		e.acquirePermit(ctx, j, p.replica.spec) == nil
 }
 
--- a/entry/emptied_test.go
+++ b/entry/emptied_test.go
@@ -45,7 +45,7 @@
 // is being evacuated, which the host hasn't learned yet. These refusals used up all asks if
 // each counted.
 func TestEmptiedMany(t *testing.T) {
-	const readers, writers, mostAsked = 15, 49, 4
+	const prefills, decodes, maxAsked = 15, 49, 4
 	synctest.Test(t, func(t *testing.T) {
 		s := &config.Settings{Host: "h", Domain: "a", Region: "r"}
 		s.SetDefaults()
@@ -59,10 +59,10 @@
 			roster.Endpoints = append(roster.Endpoints, config.Endpoint{Name: fmt.Sprintf("%s-%d", role, n), Address: fmt.Sprintf("10.0.0.%d:1", n),
 				Domain: domain, Pool: "p", Role: role, Model: "m", Version: "1"})
 		}
-		for range readers {
+		for range prefills {
 			add("a", config.Prefill)
 		}
-		for range writers {
+		for range decodes {
 			add("a", config.Decode)
 		}
 		add("b", config.Prefill)
@@ -80,8 +80,8 @@
 		if err != nil || p.prefillSpec.Domain != "b" || p.decodeSpec.Domain != "b" {
 			t.Fatalf("%+v, %v; %d asks in the evacuated domain", p, err, owners.asked)
 		}
-		if owners.asked > mostAsked {
-			t.Errorf("%d asks in the evacuated domain, want at most %d", owners.asked, mostAsked)
+		if owners.asked > maxAsked {
+			t.Errorf("%d asks in the evacuated domain, want at most %d", owners.asked, maxAsked)
 		}
 	})
 }
--- a/entry/ends.go
+++ b/entry/ends.go
@@ -36,10 +36,10 @@
 	return engineRun{Run: e.board.Suspects.Begin(j.fingerprint, s, j.teamNumber), spec: spec, proc: e.crashes.process(spec), started: clock.Now(), partial: j.resumes()}
 }
 
-// endRun records how a call ended. pieces is how many chunks it produced. A call that
+// endRun records how a call ended. chunks is how many chunks it produced. A call that
 // resumed from a part of its answer didn't run all of the request, so its success clears no
 // mark.
-func (e *Entry) endRun(ctx context.Context, j *job, r engineRun, pieces int, err error) {
+func (e *Entry) endRun(ctx context.Context, j *job, r engineRun, chunks int, err error) {
 	switch {
 	case err == nil && !r.partial:
 		e.announceMarks(e.board.Suspects.Whole(r.Run, clock.Now()))
@@ -47,7 +47,7 @@
 	case err == nil:
 		e.endProbe(j)
 	case endpoint.BrokenOff(err) && ctx.Err() == nil:
-		r.Old = pieces > 0 && clock.Now().Sub(r.started) > quarantine.YoungFor
+		r.Old = chunks > 0 && clock.Now().Sub(r.started) > quarantine.YoungFor
 		e.endBrokenRun(ctx, j, r)
 	}
 }
--- a/entry/evacuated_test.go
+++ b/entry/evacuated_test.go
@@ -16,12 +16,12 @@
 // once, as not run.
 func TestEmptiedMeanwhile(t *testing.T) {
 	cases := []struct {
-		name   string
-		leaves []string
-		full   int
-		ahead  bool // owners know of it, this host doesn't
-		reads  int
-		code   result.Code
+		name  string
+		steps []string
+		full  int
+		ahead bool // owners know of it, this host doesn't
+		reads int
+		code  result.Code
 	}{
 		{"nothing is evacuated", nil, 0, false, 1, result.OK},
 		{"as it gets its slot", []string{atEnqueue}, 0, false, 1, result.OK},
@@ -35,7 +35,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				s := &leavingScene{fullCalls: tc.full, evacuate: true, ownersAhead: tc.ahead}
 				began := time.Now()
-				refusal, body := s.run(t, tc.leaves)
+				refusal, body := s.run(t, tc.steps)
 				reads := 0
 				for _, call := range s.callOrder {
 					if slices.Contains([]string{"prefill at p1", "prefill at p2"}, call) {
@@ -59,24 +59,24 @@
 // TestEmptiedTurns has owners refuse slots and memory because of an evacuation, mixed with
 // other refusals, and checks whether a request is placed, or with what code it is refused.
 func TestEmptiedTurns(t *testing.T) {
-	gone, late := result.Evacuated, result.TooLate
+	evacuated, late := result.Evacuated, result.TooLate
 	cases := []struct {
-		name              string
-		turns, rooms      []result.Code
-		prefills, decodes int
-		roomIn            int
-		code              result.Code
+		name                       string
+		enqueueCodes, reserveCodes []result.Code
+		prefills, decodes          int
+		roomIn                     int
+		code                       result.Code
 	}{
-		{"one engine is evacuated", []result.Code{gone}, nil, 2, 1, 0, result.OK},
-		{"one has no slot, then one is evacuated", []result.Code{late, gone}, nil, 2, 1, 0, late},
-		{"one is evacuated, then one has no slot", []result.Code{gone, late}, nil, 2, 1, 0, late},
-		{"a decode engine is evacuated", nil, []result.Code{gone}, 1, 2, 0, result.OK},
-		{"it is evacuated as a later slot is requested", []result.Code{result.OK, gone}, nil, 2, 1, 900, result.OK},
+		{"one engine is evacuated", []result.Code{evacuated}, nil, 2, 1, 0, result.OK},
+		{"one has no slot, then one is evacuated", []result.Code{late, evacuated}, nil, 2, 1, 0, late},
+		{"one is evacuated, then one has no slot", []result.Code{evacuated, late}, nil, 2, 1, 0, late},
+		{"a decode engine is evacuated", nil, []result.Code{evacuated}, 1, 2, 0, result.OK},
+		{"it is evacuated as a later slot is requested", []result.Code{result.OK, evacuated}, nil, 2, 1, 900, result.OK},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				stub := &stubOwners{enqueueCodes: tc.turns, reserveCodes: tc.rooms, memoryIn: tc.roomIn}
+				stub := &stubOwners{enqueueCodes: tc.enqueueCodes, reserveCodes: tc.reserveCodes, memoryIn: tc.roomIn}
 				e, j := newPlacement(t, stub, tc.prefills, tc.decodes)
 				_, err := e.place(t.Context(), j)
 				if (err == nil) != (tc.code == result.OK) || err != nil && asResult(err).Code != tc.code {
--- a/entry/leaving_test.go
+++ b/entry/leaving_test.go
@@ -166,14 +166,14 @@
 	{"name": "b", "region": "r", "link_bytes_per_second": 1000000000}`, 1)
 
 // run runs one request, while endpoints leave at the given steps.
-func (s *leavingScene) run(t *testing.T, leaves []string) (*result.Error, string) {
+func (s *leavingScene) run(t *testing.T, steps []string) (*result.Error, string) {
 	settings := &config.Settings{Host: "h", Domain: "a", Region: "r"}
 	settings.SetDefaults()
 	s.t, s.board, s.hasLeft, s.leaveAt = t, blackboard.New(settings), map[string]bool{}, map[string]bool{}
 	if _, err := s.board.Config.Offer(1, []byte(twoDomains)); err != nil {
 		t.Fatal(err)
 	}
-	for _, moment := range leaves {
+	for _, moment := range steps {
 		s.leaveAt[moment] = true
 	}
 	s.publish()
@@ -191,9 +191,9 @@
 // served by another.
 func TestLeavesMeanwhile(t *testing.T) {
 	cases := []struct {
-		name   string
-		leaves []string
-		full   int
+		name  string
+		steps []string
+		full  int
 	}{
 		{"none leaves", nil, 0},
 		{"the prefill engine leaves as the request gets its slot", []string{atEnqueue}, 0},
@@ -205,7 +205,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := &leavingScene{fullCalls: tc.full}
-				if refusal, body := s.run(t, tc.leaves); refusal != nil || body != "data: x\n\n" {
+				if refusal, body := s.run(t, tc.steps); refusal != nil || body != "data: x\n\n" {
 					t.Errorf("%v, body %q, after %v", refusal, body, s.callOrder)
 				}
 				for moment, still := range s.leaveAt {
--- a/entry/lines_test.go
+++ b/entry/lines_test.go
@@ -20,10 +20,10 @@
 // request is logged completely or not at all, and failed ones are dropped last.
 func TestLines(t *testing.T) {
 	cases := []struct {
-		name                        string
-		successes, failures, lines  int // per second; lines of each failure
-		leastSuccesses, mostSucceed int // kept in ten seconds
-		leastFailures               int
+		name                       string
+		successes, failures, lines int // per second; lines of each failure
+		minSuccesses, maxSuccesses int // kept in ten seconds
+		minFailures                int
 	}{
 		{"little load", 50, 10, 4, 500, 500, 100},
 		{"many successes", 2000, 0, 0, 2000, 2400, 0},
@@ -64,18 +64,18 @@
 					}
 				}
 			}
-			if keptSuccesses < tc.leastSuccesses || keptSuccesses > tc.mostSucceed {
-				t.Errorf("%d successes kept, want %d to %d", keptSuccesses, tc.leastSuccesses, tc.mostSucceed)
+			if keptSuccesses < tc.minSuccesses || keptSuccesses > tc.maxSuccesses {
+				t.Errorf("%d successes kept, want %d to %d", keptSuccesses, tc.minSuccesses, tc.maxSuccesses)
 			}
-			if keptFailures < tc.leastFailures {
-				t.Errorf("%d failures kept, want %d", keptFailures, tc.leastFailures)
+			if keptFailures < tc.minFailures {
+				t.Errorf("%d failures kept, want %d", keptFailures, tc.minFailures)
 			}
-			if most := 10*logRate + logBurst + tc.lines; written > most {
-				t.Errorf("%d lines written, want at most %d", written, most)
+			if maxLines := 10*logRate + logBurst + tc.lines; written > maxLines {
+				t.Errorf("%d lines written, want at most %d", written, maxLines)
 			}
 			all := 10 * (tc.successes + tc.failures*tc.lines)
-			if told := written + left + int(g.droppedSince); told != all {
-				t.Errorf("%d lines written or reported as dropped, want %d", told, all)
+			if reported := written + left + int(g.droppedSince); reported != all {
+				t.Errorf("%d lines written or reported as dropped, want %d", reported, all)
 			}
 		})
 	}
--- a/entry/place_test.go
+++ b/entry/place_test.go
@@ -172,9 +172,9 @@
 		return slices.Repeat([]result.Code{code}, n)
 	}
 	cases := []struct {
-		name         string
-		turns, rooms int // refused, before one is granted
-		placed       bool
+		name                         string
+		slotRefusals, memoryRefusals int // refused, before one is granted
+		placed                       bool
 	}{
 		{"the first have no slot", 9, 0, true},
 		{"none has a slot", 15, 0, false},
@@ -184,7 +184,7 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				stub := &stubOwners{enqueueCodes: full(tc.turns, result.TooLate), reserveCodes: full(tc.rooms, result.NoDecodeMemory)}
+				stub := &stubOwners{enqueueCodes: full(tc.slotRefusals, result.TooLate), reserveCodes: full(tc.memoryRefusals, result.NoDecodeMemory)}
 				e, j := newPlacement(t, stub, 15, 49)
 				_, err := e.place(context.Background(), j)
 				if placed := err == nil; placed != tc.placed {
--- a/entry/relay.go
+++ b/entry/relay.go
@@ -85,16 +85,16 @@
 }
 
 // reportDecode reports to the owner how a decode call ended, if it wrote anything or
-// succeeded. pieces were written in took, from the first to the last.
-func (e *Entry) reportDecode(ctx context.Context, j *job, p *plan, err error, pieces int, took time.Duration) {
-	if err != nil && pieces == 0 {
+// succeeded. chunks were written in took, from the first to the last.
+func (e *Entry) reportDecode(ctx context.Context, j *job, p *plan, err error, chunks int, took time.Duration) {
+	if err != nil && chunks == 0 {
 		return
 	}
 	if err == nil {
 		e.retryTimes.Learn(j.pool, took)
 	}
 	e.owners.Release(p.decodeSpec, owner.Release{Attempt: p.decodeAttempt, Endpoint: route.Number(p.decodeSpec.Name), Outcome: outcomeOf(ctx, err),
-		Waited: p.decodeWasFull, Answer: pieces * p.decodeSpec.PieceTokens(), Max: j.work.MaxTokens, Expected: j.expected, Millis: ms(took)})
+		Waited: p.decodeWasFull, Answer: chunks * p.decodeSpec.PieceTokens(), Max: j.work.MaxTokens, Expected: j.expected, Millis: ms(took)})
 }
 
 // firstStallLimit returns how long an engine may take to write its first chunk. Timing out
--- a/entry/watchdog_test.go
+++ b/entry/watchdog_test.go
@@ -69,12 +69,12 @@
 func TestLives(t *testing.T) {
 	const prompt, silent, heldUp = 5 * time.Millisecond, reportTimeout + time.Millisecond, reportTimeout + 40*time.Millisecond
 	cases := []struct {
-		name  string
-		takes []time.Duration
-		lives bool
-		asked int
-		born  int64  // of the process that was called
-		now   uint64 // of the one that answers
+		name           string
+		reportTimes    []time.Duration
+		alive          bool
+		asked          int
+		calledStart    int64  // of the process that was called
+		answeringStart uint64 // of the one that answers
 	}{
 		{"answers", []time.Duration{prompt}, true, 1, 0, 0},
 		{"the same process answers", []time.Duration{prompt}, true, 1, 7, 7},
@@ -90,10 +90,10 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				a := &slowReportEngine{reportTimes: tc.takes, started: tc.now}
+				a := &slowReportEngine{reportTimes: tc.reportTimes, started: tc.answeringStart}
 				e := &Entry{engine: a}
-				if lives := e.isAlive(t.Context(), process{address: "10.0.0.1:80", started: tc.born}); lives != tc.lives || a.asked != tc.asked {
-					t.Errorf("lives %v after %d asks, want %v after %d", lives, a.asked, tc.lives, tc.asked)
+				if alive := e.isAlive(t.Context(), process{address: "10.0.0.1:80", started: tc.calledStart}); alive != tc.alive || a.asked != tc.asked {
+					t.Errorf("alive %v after %d asks, want %v after %d", alive, a.asked, tc.alive, tc.asked)
 				}
 			})
 		})
