--- a/entry/away.go
+++ b/entry/away.go
@@ -19,7 +19,7 @@
 // redirect describes where a job runs outside its local region.
 type redirect struct {
 	region string         // empty: not redirected
-	home   config.Regions // the local region
+	local  config.Regions // the local region
 	detour time.Duration
 }
 
@@ -40,7 +40,7 @@
 )
 
 // maxRemoteWait returns how long a request may wait in another region if it would wait for
-// here locally.
+// localWait in its own.
 func maxRemoteWait(localWait time.Duration) time.Duration {
 	return time.Duration(float64(localWait) / minRemoteSpeedup)
 }
@@ -56,14 +56,14 @@
 	if !j.redirected() {
 		return
 	}
-	j.criteria.Region = j.redirect.home
+	j.criteria.Region = j.redirect.local
 	j.redirect = redirect{}
 }
 
 // localRegion returns the region of the host that received the job.
 func (j *job) localRegion() config.Regions {
 	if j.redirected() {
-		return j.redirect.home
+		return j.redirect.local
 	}
 	return j.criteria.Region
 }
@@ -102,7 +102,7 @@
 	}
 	e.returnToLocalRegion(j)
 	c := &found[to]
-	j.redirect = redirect{region: c.name, home: j.criteria.Region, detour: c.Detour}
+	j.redirect = redirect{region: c.name, local: j.criteria.Region, detour: c.Detour}
 	e.board.Regions.Leave(config.NameNumber(c.name), c.pool)
 	j.criteria.Region = c.set
 	return true
--- a/entry/write.go
+++ b/entry/write.go
@@ -172,7 +172,7 @@
 }
 
 // moveIfCapacity moves a request that waits at a full engine to another, if that one's
-// owner grants capacity. Otherwise the request keeps its slot.
+// owner grants capacity. Otherwise it keeps waiting.
 func (e *Entry) moveIfCapacity(ctx context.Context, j *job, p *plan) {
 	old := *p
 	j.criteria.Drop(route.Number(p.decodeSpec.Name))
