--- a/owner/abroad.go
+++ b/owner/abroad.go
@@ -7,31 +7,32 @@
 	"github.com/embercove/embercove/result"
 )
 
-// Requests that left their region get what the callers of this one leave: the owner knows
-// its endpoint, the host that asks knows a summary that may be seconds old.
+// Cross-region requests only get capacity that requests of the local region leave unused.
+// The owner checks this because it knows the endpoint's current state, while the sending
+// host has a summary that may be seconds old.
 
-// ownTurnsFirst refuses the prompt of another region's request where the engine has much
-// to read.
-func (b *Book) ownTurnsFirst(now time.Time, a EnqueueArgs) *result.Error {
-	queued := b.queue.Backlog(now)
+// checkRemoteQueue refuses the prompt of a cross-region request if the engine's prefill
+// backlog is long.
+func (s *Scheduler) checkRemoteQueue(now time.Time, a EnqueueArgs) *result.Error {
+	queued := s.queue.Backlog(now)
 	if !a.Abroad || region.TakesTurn(queued) {
 		return nil
 	}
-	return result.Errorf(result.TooLate, "%s reads for its own region first", b.spec.Name).After(queued)
+	return result.Errorf(result.TooLate, "endpoint %s serves prefills of its own region first", s.spec.Name).After(queued)
 }
 
-// ownRoomFirst refuses another region's request where the engine is short of room.
-func (b *Book) ownRoomFirst(now time.Time, a ReserveArgs) *result.Error {
+// checkRemoteMemory refuses a cross-region request if the engine is short of decode memory or slots.
+func (s *Scheduler) checkRemoteMemory(now time.Time, a ReserveArgs) *result.Error {
 	if !a.Abroad {
 		return nil
 	}
-	tokens, slots, _ := b.ledger.Free(now)
-	wait := b.ledger.Wait(now)
-	if region.TakesRoom(region.Room{Free: tokens, Memory: b.spec.MemoryTokens, Slots: slots, AllSlots: b.spec.Slots, Wait: wait, Need: a.Tokens}) {
+	tokens, slots, _ := s.ledger.Free(now)
+	wait := s.ledger.Wait(now)
+	if region.TakesRoom(region.Room{Free: tokens, Memory: s.spec.MemoryTokens, Slots: slots, AllSlots: s.spec.Slots, Wait: wait, Need: a.Tokens}) {
 		return nil
 	}
-	return result.Errorf(result.NoDecodeMemory, "%s keeps its room for its own region", b.spec.Name).After(max(wait, leastBack))
+	return result.Errorf(result.NoDecodeMemory, "endpoint %s keeps its decode memory for its own region", s.spec.Name).After(max(wait, minRemoteRetry))
 }
 
-// leastBack is the soonest that a request of another region is told to come back for room.
-const leastBack = 200 * time.Millisecond
+// minRemoteRetry is the minimum retry delay for a cross-region request refused for lack of memory.
+const minRemoteRetry = 200 * time.Millisecond
--- a/owner/adopt.go
+++ b/owner/adopt.go
@@ -8,49 +8,48 @@
 	"github.com/embercove/embercove/config"
 )
 
-// Which endpoints this host owns, and what begins and ends with that.
+// Computing which endpoints this host owns, and taking them over or handing them over.
 
-// adoptEvery is how often a host looks whether what it owns has changed.
-const adoptEvery = 100 * time.Millisecond
+// adoptInterval is the interval of checks for changes of ownership.
+const adoptInterval = 100 * time.Millisecond
 
-// adopt opens books for endpoints that this host now owns and drops those
-// that it no longer does. Ownership is worked out anew only when the members
-// or the revision changed.
+// adopt opens schedulers for endpoints that this host now owns and drops idle ones that it
+// no longer owns. Ownership is recomputed only if the members or the revision changed.
 func (o *Owner) adopt(v *config.View, now time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if now.Before(o.nextAdopt) || o.board.Leaving() || o.board.Meeting(now) {
 		return
 	}
-	o.nextAdopt = now.Add(adoptEvery)
-	o.workOut(v, now)
-	for n, b := range o.books {
-		if !o.owned[n] && b.idle(now) {
-			delete(o.books, n)
+	o.nextAdopt = now.Add(adoptInterval)
+	o.updateOwned(v, now)
+	for n, sched := range o.schedulers {
+		if !o.owned[n] && sched.idle(now) {
+			delete(o.schedulers, n)
 		}
 	}
 }
 
-// workOut brings up to date which endpoints this host owns; the caller holds the lock. Where
-// only the roster changed it looks at the endpoints that did.
-func (o *Owner) workOut(v *config.View, now time.Time) {
+// updateOwned updates the set of owned endpoints. If only the roster changed, it considers only
+// the endpoints that changed. The caller holds the lock.
+func (o *Owner) updateOwned(v *config.View, now time.Time) {
 	members := o.board.Hosts.Fingerprint(now)
-	if o.owned != nil && o.ownedBy.members == members && o.ownedBy.view == v {
+	if o.owned != nil && o.ownedFor.members == members && o.ownedFor.view == v {
 		return
 	}
-	gained, lost := o.changes(v, members, now)
-	if o.board.Joining(now) && len(o.owned)+o.fresh(gained)-len(lost) > mostJoining {
+	gained, lost := o.ownershipChanges(v, members, now)
+	if o.board.Joining(now) && len(o.owned)+o.countNew(gained)-len(lost) > maxOwnedWhileJoining {
 		return
 	}
-	o.take(v, gained, lost, now)
-	o.ownedBy = ownedBy{members, v}
+	o.applyOwnership(v, gained, lost, now)
+	o.ownedFor = ownershipInputs{members, v}
 }
 
-// changes returns which endpoints this host owns that it didn't, or that changed, and which
-// it owns no longer; the caller holds the lock.
-func (o *Owner) changes(v *config.View, members uint64, now time.Time) (gained, lost []uint32) {
-	owns := o.owner(v, now)
-	look := func(number uint32, e *config.Endpoint) {
+// ownershipChanges returns the owned endpoints that are new or changed, and the endpoints no longer
+// owned. The caller holds the lock.
+func (o *Owner) ownershipChanges(v *config.View, members uint64, now time.Time) (gained, lost []uint32) {
+	owns := o.newOwnershipFunc(v, now)
+	visit := func(number uint32, e *config.Endpoint) {
 		switch mine := e != nil && owns(e, number); {
 		case mine:
 			gained = append(gained, number)
@@ -58,12 +57,12 @@
 			lost = append(lost, number)
 		}
 	}
-	before := o.ownedBy.view
-	if o.owned != nil && o.ownedBy.members == members && v.SharesLayout(before) && v.Doc.Policy.Mode == before.Doc.Policy.Mode {
-		config.Differing(before, v, look)
+	before := o.ownedFor.view
+	if o.owned != nil && o.ownedFor.members == members && v.SharesLayout(before) && v.Doc.Policy.Mode == before.Doc.Policy.Mode {
+		config.Differing(before, v, visit)
 		return gained, lost
 	}
-	for _, d := range o.perhapsOwned(v, now) {
+	for _, d := range o.candidateEndpoints(v, now) {
 		for number, e := range d.All() {
 			if owns(e, number) {
 				gained = append(gained, number)
@@ -78,8 +77,8 @@
 	return gained, lost
 }
 
-// fresh returns how many of some endpoints this host didn't own yet.
-func (o *Owner) fresh(gained []uint32) (n int) {
+// countNew returns how many of the endpoints this host did not own before.
+func (o *Owner) countNew(gained []uint32) (n int) {
 	for _, number := range gained {
 		if !o.owned[number] {
 			n++
@@ -88,16 +87,16 @@
 	return n
 }
 
-// take begins and ends what comes with owning endpoints; the caller holds the lock.
-func (o *Owner) take(v *config.View, gained, lost []uint32, now time.Time) {
+// applyOwnership opens schedulers for gained endpoints and hands lost ones over. The caller holds the lock.
+func (o *Owner) applyOwnership(v *config.View, gained, lost []uint32, now time.Time) {
 	if o.owned == nil {
 		o.owned = map[uint32]bool{}
 	}
 	for _, n := range gained {
 		e := v.Endpoints.Get(n)
 		o.owned[n] = true
-		if b := o.books[n]; b == nil || b.role != e.Role {
-			o.open(v, e, now)
+		if sched := o.schedulers[n]; sched == nil || sched.role != e.Role {
+			o.openScheduler(v, e, now)
 		}
 		o.board.Endpoints.SetOwn(n, true)
 	}
@@ -105,42 +104,42 @@
 		delete(o.owned, n)
 		o.board.Endpoints.SetOwn(n, false)
 	}
-	o.handLost(v, lost, now)
+	o.handOverLost(v, lost, now)
 }
 
-// handLost tells new owners what this host has reserved of endpoints that it
-// owned until now; the caller holds the lock.
-func (o *Owner) handLost(v *config.View, lost []uint32, now time.Time) {
+// handOverLost sends the new owners of lost endpoints this host's reservations there. The
+// caller holds the lock.
+func (o *Owner) handOverLost(v *config.View, lost []uint32, now time.Time) {
 	for _, n := range lost {
-		b := o.books[n]
-		if b == nil || b.ledger == nil || o.peers == nil {
+		sched := o.schedulers[n]
+		if sched == nil || sched.ledger == nil || o.peers == nil {
 			continue
 		}
-		if next, ok := Of(o.board, v, b.spec, now); ok && next.Number != o.board.Number {
+		if next, ok := Of(o.board, v, sched.spec, now); ok && next.Number != o.board.Number {
 			go func() {
 				ctx, cancel := context.WithTimeout(context.Background(), takeoverTimeout)
 				defer cancel()
-				o.handTo(ctx, next, b, now)
+				o.sendHandover(ctx, next, sched, now)
 			}()
 		}
 	}
 }
 
-// mostJoining is how many endpoints a host takes over at the most while it joins. One
-// that would own more has not met the others yet: of many hosts that start together each
-// would take hundreds of endpoints for its own, and ask all of them for their reports.
-const mostJoining = 32
+// maxOwnedWhileJoining is the maximum number of endpoints that a host takes over while it joins. A
+// host that would own more has not met the other hosts yet: when many hosts start together,
+// each would claim hundreds of endpoints and poll all of them.
+const maxOwnedWhileJoining = 32
 
-// ownedBy is what the owned endpoints were worked out by.
-type ownedBy struct {
+// ownershipInputs holds the inputs from which the set of owned endpoints was computed.
+type ownershipInputs struct {
 	members uint64 // fingerprint
 	view    *config.View
 }
 
-// perhapsOwned returns the endpoints that this host may own: those of its failure domain, and
-// of those without a host of their own. Where owners don't follow from endpoints it may own
-// any.
-func (o *Owner) perhapsOwned(v *config.View, now time.Time) (out []config.Endpoints) {
+// candidateEndpoints returns the endpoints that this host may own: those of its own failure domain
+// and of domains without live hosts. In modes where the owner does not depend on the endpoint,
+// these are all endpoints.
+func (o *Owner) candidateEndpoints(v *config.View, now time.Time) (out []config.Endpoints) {
 	if v.Doc.Policy.Mode.Single() {
 		return []config.Endpoints{v.Endpoints}
 	}
@@ -152,12 +151,13 @@
 	return out
 }
 
-// ownership tells whether this host owns an endpoint of a number, by its view of the
-// members at one moment.
-type ownership func(e *config.Endpoint, number uint32) bool
+// ownershipFunc reports whether this host owns an endpoint, given its number, by a snapshot of
+// the members.
+type ownershipFunc func(e *config.Endpoint, number uint32) bool
 
-// owner returns what tells of many endpoints what Of tells of one.
-func (o *Owner) owner(v *config.View, now time.Time) ownership {
+// newOwnershipFunc returns a function that is equivalent to comparing the result of Of with this host,
+// but cheaper for many endpoints.
+func (o *Owner) newOwnershipFunc(v *config.View, now time.Time) ownershipFunc {
 	byDomain := map[string]*blackboard.Candidates{}
 	return func(e *config.Endpoint, number uint32) bool {
 		if v.Doc.Policy.Mode.Single() {
@@ -181,10 +181,10 @@
 	}
 }
 
-// idle reports whether a book that isn't owned can go.
-func (b *Book) idle(now time.Time) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	busy := b.queue != nil && b.queue.Len() > 0
-	return !busy && now.Sub(b.used) > idleBook
+// idle reports whether a scheduler of an endpoint that isn't owned can be dropped.
+func (s *Scheduler) idle(now time.Time) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	busy := s.queue != nil && s.queue.Len() > 0
+	return !busy && now.Sub(s.lastUsed) > idleSchedulerKept
 }
--- a/owner/balance_test.go
+++ b/owner/balance_test.go
@@ -15,8 +15,8 @@
 	"github.com/embercove/embercove/route"
 )
 
-// rosterOf returns a roster of runners: one letter for each, p for prefill, d
-// for decode, upper case for one that is leaving; domains d, e and f in turn.
+// rosterOf returns a roster of runners, one for each letter of roles: p for prefill, d for
+// decode, upper case for leaving. Their domains are d, e and f in turn.
 func rosterOf(revision uint64, roles string) *config.RosterList {
 	r := &config.RosterList{Revision: config.Position(revision)}
 	for i, c := range roles {
@@ -35,7 +35,7 @@
 "pools": [{"name": "p", "memory_tokens": 90000, "slots": 64, "link_bytes_per_second": 1000000000, "role_switch_ms": 6000}],
 "routes": [{"name": "r", "host": "h", "path_prefix": "/", "pools": [{"pool": "p", "weight": 1}]}]}`
 
-// orderEngine takes orders and answers them with an error.
+// orderEngine records orders and answers them with an error.
 type orderEngine struct {
 	endpoint.Engine
 	err    error
@@ -47,39 +47,39 @@
 	return e.err
 }
 
-// TestBalanceOrders checks when an owner orders at all, and that its fences
-// rise above any that it has heard of or met.
+// TestBalanceOrders checks under which conditions an owner sends orders, and that its fences
+// exceed every fence that other hosts reported or a runner has seen.
 func TestBalanceOrders(t *testing.T) {
 	refused := &endpoint.CallError{Status: 412, Cause: errors.New("fence")}
 	cases := []struct {
-		name    string
-		settled time.Duration // since the members changed
-		leaving bool
-		doubted bool   // between the two looks at the members
-		come    int    // hosts that came between them
-		into    string // their domain
-		gap     bool   // nothing was looked at between them
-		silent  bool   // the platform was not heard of
-		seeds   int    // that the settings name
-		gone    int    // of four of the five other hosts
-		heard   uint64
-		err     error
-		orders  int
+		name       string
+		settled    time.Duration // since the members changed
+		leaving    bool
+		doubted    bool   // a host becomes suspected between the two checks of the members
+		come       int    // hosts that join between the checks
+		into       string // their domain
+		gap        bool   // no checks in between
+		silent     bool   // the platform has not answered
+		seeds      int    // in the settings
+		gone       int    // of four of the five other hosts
+		heardFence uint64
+		err        error
+		orders     int
 	}{
 		{name: "settled", settled: settledAfter, orders: 1},
 		{name: "members have just changed", settled: settledAfter / 2},
-		{name: "a host came in another domain, long after the last change", settled: steadyAfter, come: 1, into: "e", orders: 1},
-		{name: "a host came in another domain, soon after the last change", settled: settledAfter, come: 1, into: "e"},
-		{name: "hosts came of which one orders this runner", settled: steadyAfter, come: 200, into: "d"},
-		{name: "nobody looked for a while", settled: 2 * steadyAfter, gap: true, come: 1, into: "e"},
-		{name: "a host is doubted meanwhile", settled: settledAfter, doubted: true, orders: 1},
+		{name: "a host joined another domain, long after the last change", settled: minTenure, come: 1, into: "e", orders: 1},
+		{name: "a host joined another domain, soon after the last change", settled: settledAfter, come: 1, into: "e"},
+		{name: "hosts joined, one of which orders this runner", settled: minTenure, come: 200, into: "d"},
+		{name: "no checks for a while", settled: 2 * minTenure, gap: true, come: 1, into: "e"},
+		{name: "a host becomes suspected", settled: settledAfter, doubted: true, orders: 1},
 		{name: "leaving", settled: settledAfter, leaving: true},
 		{name: "four of six hosts are left", settled: settledAfter, gone: 2, orders: 1},
-		{name: "half of the hosts are out of reach", settled: settledAfter, gone: 3},
-		{name: "most hosts are out of reach", settled: settledAfter, gone: 4},
-		{name: "the seeds were never met", settled: settledAfter, seeds: 12},
+		{name: "half of the hosts are unreachable", settled: settledAfter, gone: 3},
+		{name: "most hosts are unreachable", settled: settledAfter, gone: 4},
+		{name: "the seeds were never contacted", settled: settledAfter, seeds: 12},
 		{name: "cut off from the platform", settled: settledAfter, silent: true},
-		{name: "another host's clock is ahead", settled: settledAfter, heard: 1 << 60, orders: 1},
+		{name: "another host's clock is ahead", settled: settledAfter, heardFence: 1 << 60, orders: 1},
 		{name: "the runner has seen a higher fence", settled: settledAfter, err: refused, orders: 1},
 	}
 	for _, tc := range cases {
@@ -105,12 +105,12 @@
 			if tc.leaving {
 				o.board.SetLeaving()
 			}
-			o.SawFence(tc.heard)
+			o.SawFence(tc.heardFence)
 			v := o.board.Config.View()
-			o.mayOrder(v, now.Add(-tc.settled))
-			for ago := tc.settled; ago > 0; ago -= balanceEvery {
+			o.canOrder(v, now.Add(-tc.settled))
+			for ago := tc.settled; ago > 0; ago -= balanceInterval {
 				if ago == tc.settled || !tc.gap {
-					mayOrderNow(o, v.Endpoint("r00"), now.Add(-ago))
+					canOrderNow(o, v.Endpoint("r00"), now.Add(-ago))
 				}
 			}
 			if tc.doubted {
@@ -120,15 +120,15 @@
 				h := blackboard.Host{Name: fmt.Sprint("new", i), Number: uint32(100 + i), Domain: tc.into, Region: "r", Incarnation: 1, Beat: 1}
 				o.board.Hosts.Learn(h, now)
 			}
-			if o.mayOrder(v, now) && mayOrderNow(o, v.Endpoint("r00"), now) {
+			if o.canOrder(v, now) && canOrderNow(o, v.Endpoint("r00"), now) {
 				o.order(context.Background(), v.Pools["p"], v.Endpoint("r00"), config.Decode, now)
 				o.order(context.Background(), v.Pools["p"], v.Endpoint("r00"), config.Decode, now) // too soon
 			}
 			if len(eng.orders) != tc.orders {
 				t.Fatalf("%d orders, want %d", len(eng.orders), tc.orders)
 			}
-			if tc.orders > 0 && eng.orders[0].Fence <= tc.heard {
-				t.Errorf("fence %d is not above %d", eng.orders[0].Fence, tc.heard)
+			if tc.orders > 0 && eng.orders[0].Fence <= tc.heardFence {
+				t.Errorf("fence %d is not above %d", eng.orders[0].Fence, tc.heardFence)
 			}
 			if tc.err != nil && o.Fence() < eng.orders[0].Fence+fenceJump {
 				t.Errorf("fence %d after a refusal of %d", o.Fence(), eng.orders[0].Fence)
@@ -137,8 +137,8 @@
 	}
 }
 
-// TestOrderableAfterLapse has registrations lapse, and looks whom this host orders before
-// and after they are dropped, which keeps the roster's revision.
+// TestOrderableAfterLapse lets registrations expire and be dropped. Dropping keeps the roster's
+// revision, so a cache keyed by the revision would still return endpoints of the old view.
 func TestOrderableAfterLapse(t *testing.T) {
 	o := testOwner(t, "a", "b")
 	o.log = zap.NewNop()
@@ -152,19 +152,19 @@
 	roster.Revision = 10
 	o.board.Config.OfferRoster(roster.Roster(), now)
 	before := o.orderable(o.board.Config.View(), now)
-	later := now.Add(config.LapsedKept + time.Millisecond)
-	o.board.Config.DropLapsed(later)
-	o.balance.last.at = later // as if it had been looked at all the while
+	afterExpiry := now.Add(config.LapsedKept + time.Millisecond)
+	o.board.Config.DropLapsed(afterExpiry)
+	o.balance.cache.validAt = afterExpiry // as if it had been checked continuously
 	v := o.board.Config.View()
-	for _, e := range o.orderable(v, later) {
+	for _, e := range o.orderable(v, afterExpiry) {
 		if v.Endpoint(e.Name) != e {
-			t.Fatalf("%s is not of the view; before the drop %v", e.Name, before)
+			t.Fatalf("%s is not from the current view; before the drop %v", e.Name, before)
 		}
 	}
 }
 
-// mayOrderNow asks whether the owner orders one endpoint.
-func mayOrderNow(o *Owner, e *config.Endpoint, now time.Time) bool {
+// canOrderNow reports whether the owner may order one endpoint.
+func canOrderNow(o *Owner, e *config.Endpoint, now time.Time) bool {
 	number := route.Number(e.Name)
-	return o.takesOrders(o.board.Hosts.Candidates(e.Domain, now), number, now) == o.board.Number && o.tenured(number, now)
+	return o.updateTenure(o.board.Hosts.Candidates(e.Domain, now), number, now) == o.board.Number && o.hasTenure(number, now)
 }
--- a/owner/book.go
+++ b/owner/book.go
@@ -13,258 +13,257 @@
 	"github.com/embercove/embercove/route"
 )
 
-// Book is what an owner knows of one endpoint: the ledger or the queue, the
-// last report, and what was learned. One lock guards it all.
-type Book struct {
+// Scheduler is an owner's state of one endpoint: the ledger or the queue, the last
+// report, and learned averages. One lock guards all of it.
+type Scheduler struct {
 	mu     sync.Mutex
 	view   *config.View
 	spec   *config.Endpoint
 	number uint32
-	role   config.Role // an endpoint of another role needs another book
+	role   config.Role // a change of role needs a new scheduler
 
 	ledger *ledger.Ledger // decode
 	queue  *queue.Queue   // prefill
 
-	ready bool // the endpoint's own list was read since the tenure began
-	state endpoint.State
-	fails int // state polls that failed in a row
-	wrong bool
-	// maybeCold is until when it may be cold because it was out of reach: it may have
-	// started anew, and where the store is out of reach no registration tells.
-	maybeCold time.Time
-	changing  time.Time // until when it is about to have another role
-	ordered   time.Time
+	ready       bool // the endpoint's list or the predecessor's reservations have been loaded
+	state       endpoint.State
+	failedPolls int  // consecutive failed state polls
+	wrongState  bool // the last report differs from the state that the revision asks for
+	// possiblyColdUntil is the end of the time in which the endpoint may be cold because it was
+	// unreachable: it may have restarted, and no registration reports that while the store
+	// is unreachable.
+	possiblyColdUntil time.Time
+	roleChangeUntil   time.Time // end of the time in which an ordered role change is pending
+	lastOrder         time.Time // time of the last order
 
-	failed float64 // share of attempts that failed lately, as of failedAt
-	trust  float64 // how far the cache feed proved true
-	heads  map[uint32]uint32
-	feed   uint64    // next sequence number of the cache feed
-	epoch  uint64    // of the feed; another one knows nothing of this
-	fed    time.Time // when the feed was last read
+	failureShare float64 // share of recent attempts that failed, as of failureShareAt
+	feedTrust    float64 // share of the cached tokens promised by the feed that the engine had
+	cachedHeads  map[uint32]uint32
+	feedNext     uint64    // next sequence number of the cache feed
+	feedEpoch    uint64    // of the feed; sequence numbers of another epoch are unrelated
+	feedReadAt   time.Time // when the feed was last read
 
-	failedAt time.Time
-	leaving  float64 // share of callers that left before their prompt was read
+	failureShareAt time.Time
+	leavingShare   float64 // share of callers that left before their prefill ended
 
-	confirmed map[request.Attempt]time.Time // when the holder last claimed it
-	gone      map[request.Attempt]time.Time // since when its holder is gone
+	claimedAt       map[request.Attempt]time.Time // when the holder last claimed the attempt
+	holderGoneSince map[request.Attempt]time.Time // since when the attempt's holder is gone
 
 	nextState, nextList, nextFeed time.Time
 	polling                       bool
-	used                          time.Time // when it last did something for anyone
+	lastUsed                      time.Time // last use on behalf of a request
 }
 
-func newBook(v *config.View, spec *config.Endpoint, share float64, now time.Time) *Book {
-	b := &Book{
-		view: v, spec: spec, number: route.Number(spec.Name), role: spec.Role, trust: startTrust,
-		heads: map[uint32]uint32{}, confirmed: map[request.Attempt]time.Time{}, gone: map[request.Attempt]time.Time{},
-		used: now, failedAt: now,
+func newScheduler(v *config.View, spec *config.Endpoint, share float64, now time.Time) *Scheduler {
+	sched := &Scheduler{
+		view: v, spec: spec, number: route.Number(spec.Name), role: spec.Role, feedTrust: initialFeedTrust,
+		cachedHeads: map[uint32]uint32{}, claimedAt: map[request.Attempt]time.Time{}, holderGoneSince: map[request.Attempt]time.Time{},
+		lastUsed: now, failureShareAt: now,
 	}
 	switch spec.Role {
 	case config.Decode:
-		b.ledger = ledger.New(v, spec, share)
+		sched.ledger = ledger.New(v, spec, share)
 	case config.Prefill:
-		b.queue = queue.New(b.teamWeight, spec.TokensPerSecond)
+		sched.queue = queue.New(sched.teamWeight, spec.TokensPerSecond)
 	}
-	b.ready = !b.polled() // else nobody would ask for it, and it never would be
-	return b
+	sched.ready = !sched.needsPolling() // without polls nothing else would make it ready
+	return sched
 }
 
-// startTrust is how far a cache feed is believed before it was tried.
-const startTrust = 0.7
+// initialFeedTrust is the trust in a cache feed before anything is known of its accuracy.
+const initialFeedTrust = 0.7
 
-// teamWeight returns the configured weight of a team's number.
-func (b *Book) teamWeight(team uint32) float64 {
-	if t := b.view.TeamByNumber[team]; t != nil {
+// teamWeight returns the configured weight of the team with a number.
+func (s *Scheduler) teamWeight(team uint32) float64 {
+	if t := s.view.TeamByNumber[team]; t != nil {
 		return float64(t.Weight)
 	}
 	return 1
 }
 
-// fit takes over a new revision.
-func (b *Book) fit(v *config.View, share float64) {
-	spec := v.Endpoint(b.spec.Name)
-	if spec == nil || v == b.view || spec.Role != b.role {
+// applyView applies a new revision.
+func (s *Scheduler) applyView(v *config.View, share float64) {
+	spec := v.Endpoint(s.spec.Name)
+	if spec == nil || v == s.view || spec.Role != s.role {
 		return
 	}
-	again := spec.Born > b.spec.Born && b.spec.Born != 0 && uint64(spec.Born) > b.state.Incarnation // else its report told before of this start, or a later one
-	b.view, b.spec = v, spec
-	if b.ledger != nil {
-		b.ledger.Fit(v, spec, share)
+	restarted := spec.Born > s.spec.Born && s.spec.Born != 0 && uint64(spec.Born) > s.state.Incarnation // otherwise a report already showed this start or a later one
+	s.view, s.spec = v, spec
+	if s.ledger != nil {
+		s.ledger.Fit(v, spec, share)
 	}
-	if again {
-		b.restart(time.Now())
+	if restarted {
+		s.restart(time.Now())
 	}
 }
 
-// late reports whether a report is of a process that has ended since, and was long under
-// way; the caller holds the lock.
-func (b *Book) late(st *endpoint.State) bool {
-	return st.Incarnation != 0 && st.Incarnation < max(b.state.Incarnation, uint64(max(0, b.spec.Born)))
+// isStale reports whether a report comes from an earlier process of the endpoint, delayed
+// on its way. The caller holds the lock.
+func (s *Scheduler) isStale(st *endpoint.State) bool {
+	return st.Incarnation != 0 && st.Incarnation < max(s.state.Incarnation, uint64(max(0, s.spec.Born)))
 }
 
-// restart forgets what the endpoint held before it started again under its name, and has
-// it asked at once; the caller holds the lock. What was only reserved there stays: it may
-// still come.
-func (b *Book) restart(now time.Time) {
-	b.heads, b.feed = map[uint32]uint32{}, 0
-	b.state, b.fails = endpoint.State{Incarnation: uint64(max(0, b.spec.Born)), Lists: b.state.Lists}, 0
-	b.changing, b.wrong = time.Time{}, false
-	b.maybeCold = now.Add(config.Millis(b.spec.ColdStartMillis))
-	if b.ledger != nil {
-		b.ledger.Listed(now, nil)
+// restart drops the state of the endpoint's previous process, after it started again under
+// the same name, and schedules an immediate poll. Reservations that have not arrived at the
+// endpoint stay: their requests may still arrive. The caller holds the lock.
+func (s *Scheduler) restart(now time.Time) {
+	s.cachedHeads, s.feedNext = map[uint32]uint32{}, 0
+	s.state, s.failedPolls = endpoint.State{Incarnation: uint64(max(0, s.spec.Born)), Lists: s.state.Lists}, 0
+	s.roleChangeUntil, s.wrongState = time.Time{}, false
+	s.possiblyColdUntil = now.Add(config.Millis(s.spec.ColdStartMillis))
+	if s.ledger != nil {
+		s.ledger.Listed(now, nil)
 	}
-	b.nextState, b.nextList, b.nextFeed = now, now, now
+	s.nextState, s.nextList, s.nextFeed = now, now, now
 }
 
-// digest returns what others are told of the endpoint; the caller holds the
-// lock.
-func (b *Book) digest(now time.Time, reserves bool) route.Digest {
-	b.fadeFailures(now)
-	d := route.Digest{Number: b.number, FailPct: uint8(min(1, b.failed) * 100),
-		TrustPct: uint8(b.trust * 100), Flags: b.flags()}
-	if b.spec.ColdPerSecond > 0 && (now.Before(b.spec.ColdUntil) || now.Before(b.maybeCold)) {
+// digest returns the endpoint's state as announced to other hosts. The caller holds the lock.
+func (s *Scheduler) digest(now time.Time, reserves bool) route.Digest {
+	s.decayFailures(now)
+	d := route.Digest{Number: s.number, FailPct: uint8(min(1, s.failureShare) * 100),
+		TrustPct: uint8(s.feedTrust * 100), Flags: s.flags()}
+	if s.spec.ColdPerSecond > 0 && (now.Before(s.spec.ColdUntil) || now.Before(s.possiblyColdUntil)) {
 		d.Flags |= route.FlagCold
 	}
 	switch {
-	case b.ledger != nil:
-		d.SlowPct = b.ledger.SlowPct()
-	case b.queue != nil:
-		d.SlowPct, d.LagMillis = uint16(b.queue.Pace.Slow()*100), uint32(b.queue.Pace.Lag().Milliseconds())
+	case s.ledger != nil:
+		d.SlowPct = s.ledger.SlowPct()
+	case s.queue != nil:
+		d.SlowPct, d.LagMillis = uint16(s.queue.Pace.Slow()*100), uint32(s.queue.Pace.Lag().Milliseconds())
 	}
 	switch {
-	case b.queue != nil && reserves:
-		d.QueueMillis = uint32(b.queue.Backlog(now).Milliseconds())
-	case b.queue != nil:
-		d.QueueMillis = uint32(float64(b.state.QueuedTokens) / b.spec.TokensPerSecond * 1000)
-	case b.ledger != nil && reserves:
-		tokens, slots, link := b.ledger.Free(now)
+	case s.queue != nil && reserves:
+		d.QueueMillis = uint32(s.queue.Backlog(now).Milliseconds())
+	case s.queue != nil:
+		d.QueueMillis = uint32(float64(s.state.QueuedTokens) / s.spec.TokensPerSecond * 1000)
+	case s.ledger != nil && reserves:
+		tokens, slots, link := s.ledger.Free(now)
 		d.FreeTokens, d.FreeSlots, d.LinkMillis = int32(tokens), int32(slots), uint32(link.Milliseconds())
-		d.WaitMillis = uint32(b.ledger.Wait(now).Milliseconds())
-	case b.ledger != nil:
-		d.FreeTokens = int32(b.spec.MemoryTokens - b.state.MemoryUsed)
-		d.FreeSlots = int32(b.spec.Slots - b.state.Running)
+		d.WaitMillis = uint32(s.ledger.Wait(now).Milliseconds())
+	case s.ledger != nil:
+		d.FreeTokens = int32(s.spec.MemoryTokens - s.state.MemoryUsed)
+		d.FreeSlots = int32(s.spec.Slots - s.state.Running)
 	}
-	if b.queue != nil {
-		d.Heads = b.topHeads()
+	if s.queue != nil {
+		d.Heads = s.topHeads()
 	}
 	return d
 }
 
-// brief is the digest without cached prompts, for replies.
-func (b *Book) brief(now time.Time) route.Digest {
-	d := b.digest(now, true)
+// brief returns the digest without cached prompts, for replies.
+func (s *Scheduler) brief(now time.Time) route.Digest {
+	d := s.digest(now, true)
 	d.Heads = nil
 	return d
 }
 
-// downAfter is how many state polls in a row must fail before an endpoint
+// downAfter is the number of consecutive failed state polls after which an endpoint
 // counts as down.
 const downAfter = 2
 
-func (b *Book) flags() uint8 {
+func (s *Scheduler) flags() uint8 {
 	var f uint8
-	if b.fails >= downAfter {
+	if s.failedPolls >= downAfter {
 		f |= route.FlagDown
 	}
-	if b.state.Leaving || b.spec.Leaving {
+	if s.state.Leaving || s.spec.Leaving {
 		f |= route.FlagLeaving
 	}
-	if b.wrong || time.Now().Before(b.changing) {
+	if s.wrongState || time.Now().Before(s.roleChangeUntil) {
 		f |= route.FlagWrong
 	}
 	return f
 }
 
-// mostDigestHeads bounds how many prompt heads a digest tells of.
-const mostDigestHeads = 24
+// maxDigestHeads bounds the number of prompt heads in a digest.
+const maxDigestHeads = 24
 
-// minHead is the least cached prefix worth telling, in tokens.
-const minHead = 512
+// minDigestHeadTokens is the shortest cached prefix worth announcing, in tokens.
+const minDigestHeadTokens = 512
 
-func (b *Book) topHeads() []route.HeadDigest {
-	out := make([]route.HeadDigest, 0, mostDigestHeads)
-	for h, n := range b.heads {
-		if n < minHead {
+func (s *Scheduler) topHeads() []route.HeadDigest {
+	out := make([]route.HeadDigest, 0, maxDigestHeads)
+	for h, n := range s.cachedHeads {
+		if n < minDigestHeadTokens {
 			continue
 		}
-		if len(out) < mostDigestHeads {
+		if len(out) < maxDigestHeads {
 			out = append(out, route.HeadDigest{Head: h, Tokens: n})
 			continue
 		}
-		least := 0
+		smallest := 0
 		for i := range out {
-			if out[i].Tokens < out[least].Tokens {
-				least = i
+			if out[i].Tokens < out[smallest].Tokens {
+				smallest = i
 			}
 		}
-		if out[least].Tokens < n {
-			out[least] = route.HeadDigest{Head: h, Tokens: n}
+		if out[smallest].Tokens < n {
+			out[smallest] = route.HeadDigest{Head: h, Tokens: n}
 		}
 	}
 	return out
 }
 
-// uncached returns the tokens that the endpoint will have to read, and those
-// that its cache feed promised to be cached, before they are trusted.
-func (b *Book) uncached(tokens int, head uint32, hasHead bool) (read, promised int) {
+// uncached returns the number of tokens expected to need prefill, and the number that the
+// cache feed reports as cached, not yet weighted by the trust in the feed.
+func (s *Scheduler) uncached(tokens int, head uint32, hasHead bool) (toPrefill, promised int) {
 	if !hasHead {
 		return max(1, tokens), 0
 	}
-	promised = min(int(b.heads[head]), tokens)
-	return max(1, tokens-int(float64(promised)*b.trust)), promised
+	promised = min(int(s.cachedHeads[head]), tokens)
+	return max(1, tokens-int(float64(promised)*s.feedTrust)), promised
 }
 
-// reserve asks the ledger.
-func (b *Book) reserve(now time.Time, a ReserveArgs) (at time.Time, refusal *result.Error) {
-	if f := b.flags(); f != 0 {
-		return time.Time{}, result.Errorf(result.NoEndpoint, "%s is down, leaving or in the wrong state", b.spec.Name).After(time.Second)
+// reserve reserves decode memory in the ledger or refuses the request.
+func (s *Scheduler) reserve(now time.Time, a ReserveArgs) (at time.Time, refusal *result.Error) {
+	if f := s.flags(); f != 0 {
+		return time.Time{}, result.Errorf(result.NoEndpoint, "endpoint %s is down, leaving or in the wrong state", s.spec.Name).After(time.Second)
 	}
-	if refusal := b.ownRoomFirst(now, a); refusal != nil {
+	if refusal := s.checkRemoteMemory(now, a); refusal != nil {
 		return time.Time{}, refusal
 	}
-	ask := ledger.Ask{Attempt: a.Attempt, Team: a.Team, Tokens: a.Tokens, MaxAnswer: a.MaxAnswer, Expected: a.Expected, Mark: a.Mark,
+	req := ledger.Ask{Attempt: a.Attempt, Team: a.Team, Tokens: a.Tokens, MaxAnswer: a.MaxAnswer, Expected: a.Expected, Mark: a.Mark,
 		Bytes: a.Bytes, In: duration(a.InMillis), Slack: duration(a.Slack)}
 	if a.Spare > 0 {
-		return now, b.ledger.ReserveCopy(now, ask, a.Spare)
+		return now, s.ledger.ReserveCopy(now, req, a.Spare)
 	}
-	return b.ledger.Reserve(now, ask, b.teamWeight)
+	return s.ledger.Reserve(now, req, s.teamWeight)
 }
 
-// admit puts a request into the queue of a prefill engine or refuses it.
-// Requests that it pushes out are refused.
-func (b *Book) admit(now time.Time, a EnqueueArgs) (*queue.Item, *result.Error) {
-	if b.queue == nil || b.flags() != 0 {
-		return nil, result.Errorf(result.NoEndpoint, "%s takes no prompts now", b.spec.Name).After(time.Second)
+// admit adds a request to the queue of a prefill engine or refuses it. Queued
+// requests that it displaces are refused too.
+func (s *Scheduler) admit(now time.Time, a EnqueueArgs) (*queue.Item, *result.Error) {
+	if s.queue == nil || s.flags() != 0 {
+		return nil, result.Errorf(result.NoEndpoint, "endpoint %s accepts no prompts now", s.spec.Name).After(time.Second)
 	}
-	if refusal := b.ownTurnsFirst(now, a); refusal != nil {
+	if refusal := s.checkRemoteQueue(now, a); refusal != nil {
 		return nil, refusal
 	}
-	tokens, promised := b.uncached(a.Tokens, a.Head, a.HasHead)
-	work, lag := b.queue.Pace.Work(tokens), b.queue.Pace.Lag()
+	tokens, promised := s.uncached(a.Tokens, a.Head, a.HasHead)
+	work, lag := s.queue.Pace.Work(tokens), s.queue.Pace.Lag()
 	it := &queue.Item{Attempt: a.Attempt, Team: a.Team, Priority: a.Priority, Tokens: tokens, Work: work, Lag: lag, Promised: promised, Came: now,
 		Latest: now.Add(duration(a.Slack) - work - lag), NotYet: now.Add(duration(a.NotYet)), Answer: make(chan *result.Error, 1)}
-	blend(&b.leaving, 0, learnLeaving)
-	if hold := b.holdBack(now, it); hold.After(it.NotYet) {
+	blend(&s.leavingShare, 0, learnLeaving)
+	if hold := s.prefillNotBefore(now, it); hold.After(it.NotYet) {
 		it.NotYet = hold
 	}
-	pushed, refusal := b.queue.Admit(now, it)
+	pushed, refusal := s.queue.Admit(now, it)
 	if refusal != nil {
 		return nil, refusal
 	}
 	for _, p := range pushed {
-		p.Answer <- result.Errorf(result.TooLate, "requests of higher rank or of teams with less use came").After(work + queue.Lookahead)
+		p.Answer <- result.Errorf(result.TooLate, "displaced by requests of higher priority or of teams with less use").After(work + queue.Lookahead)
 	}
 	return it, nil
 }
 
-// holdBack returns the moment before which a request's prefill should not end,
-// to spare work for callers that leave early, where that is minded more than
-// an early answer. The fewer leave, the shorter it is.
-func (b *Book) holdBack(now time.Time, it *queue.Item) time.Time {
-	part := b.view.Patience() * min(1, b.leaving/manyLeave)
-	return now.Add(time.Duration(part*float64(it.Latest.Sub(now))) + it.Work)
+// prefillNotBefore returns the time before which a request's prefill should not end. It delays
+// prefills to avoid work for callers that leave early, if the configuration weighs wasted
+// prefill more than goodput. The delay shrinks with the share of callers that leave.
+func (s *Scheduler) prefillNotBefore(now time.Time, it *queue.Item) time.Time {
+	share := s.view.Patience() * min(1, s.leavingShare/fullDelayShare)
+	return now.Add(time.Duration(share*float64(it.Latest.Sub(now))) + it.Work)
 }
 
-// manyLeave is the share of callers leaving from which prefills are held back
-// in full.
-const manyLeave = 0.08
+// fullDelayShare is the share of callers leaving early at which the full delay applies.
+const fullDelayShare = 0.08
--- a/owner/empty.go
+++ b/owner/empty.go
@@ -7,61 +7,60 @@
 	"github.com/embercove/embercove/result"
 )
 
-// Where a failure domain is being emptied, its endpoints get nothing more to do: their
-// owners give out no turn and no memory. What runs goes on to its end, so reports are
-// read and orphans freed as before. Reservations are given back by the hosts that hold
-// them, when their turn comes: nobody else may use that room meanwhile.
+// While a failure domain is evacuated, the owners of its endpoints admit no requests and
+// reserve no memory. Running requests finish, so endpoints are still polled and orphans still
+// cancelled. Reservations already made are released by the hosts that hold them, when their
+// prefill would begin; nobody else can use that memory in the meantime.
 
-// emptiedRetry is after how long a request is told to ask again at an endpoint that is
-// being emptied, which it doesn't: it is placed elsewhere at once.
-const emptiedRetry = 2 * time.Second
+// evacuatedRetry is the retry delay in refusals by evacuated endpoints. It has no effect in
+// practice: the request is placed elsewhere at once.
+const evacuatedRetry = 2 * time.Second
 
-// refuseEmptied returns the refusal of whatever asks for an endpoint of a failure domain
-// that is being emptied; nil: it isn't. It looks at the view in use, which is put in
-// place before Empty is called. The caller holds the book's lock, so that no request is
-// let in behind Empty.
-func (o *Owner) refuseEmptied(b *Book) *result.Error {
+// refuseEvacuated returns a refusal if the endpoint's failure domain is evacuated, nil otherwise.
+// It reads the view in use, which is stored before Empty is called. The caller holds the
+// scheduler's lock, so that no request is admitted after Empty has cleared the queue.
+func (o *Owner) refuseEvacuated(sched *Scheduler) *result.Error {
 	v := o.board.Config.View()
 	if v == nil {
 		return nil
 	}
-	spec := v.Endpoints.Get(b.number)
+	spec := v.Endpoints.Get(sched.number)
 	if spec == nil || !v.Emptied(spec) {
 		return nil
 	}
 	o.TurnedAway.Add(1)
-	return emptied(spec)
+	return evacuatedError(spec)
 }
 
-func emptied(spec *config.Endpoint) *result.Error {
-	return result.Errorf(result.Evacuated, "the failure domain of %s is being emptied", spec.Name).After(emptiedRetry)
+func evacuatedError(spec *config.Endpoint) *result.Error {
+	return result.Errorf(result.Evacuated, "the failure domain of endpoint %s is evacuated", spec.Name).After(evacuatedRetry)
 }
 
-// Empty refuses the requests that wait at endpoints of failure domains that are being
-// emptied by the view in use, so that their hosts place them anew.
+// Empty refuses the queued requests of endpoints whose failure domain is evacuated in the view
+// in use, so that their hosts place them elsewhere.
 func (o *Owner) Empty(v *config.View) {
 	o.mu.Lock()
-	books := make([]*Book, 0, len(o.books))
-	for _, b := range o.books {
-		books = append(books, b)
+	schedulers := make([]*Scheduler, 0, len(o.schedulers))
+	for _, sched := range o.schedulers {
+		schedulers = append(schedulers, sched)
 	}
 	o.mu.Unlock()
-	for _, b := range books {
-		if spec := v.Endpoints.Get(b.number); spec != nil && v.Emptied(spec) {
-			o.TurnedAway.Add(b.empty(spec))
+	for _, sched := range schedulers {
+		if spec := v.Endpoints.Get(sched.number); spec != nil && v.Emptied(spec) {
+			o.TurnedAway.Add(sched.refuseQueued(spec))
 		}
 	}
 }
 
-// empty refuses the requests that wait, and returns how many.
-func (b *Book) empty(spec *config.Endpoint) (n uint64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.queue == nil {
+// refuseQueued refuses all queued requests and returns their number.
+func (s *Scheduler) refuseQueued(spec *config.Endpoint) (n uint64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.queue == nil {
 		return 0
 	}
-	for _, it := range b.queue.Clear() {
-		it.Answer <- emptied(spec)
+	for _, it := range s.queue.Clear() {
+		it.Answer <- evacuatedError(spec)
 		n++
 	}
 	return n
--- a/owner/empty_test.go
+++ b/owner/empty_test.go
@@ -16,9 +16,9 @@
 	"github.com/embercove/embercove/route"
 )
 
-// emptyOwner returns an owner of nine engines, three in each of the domains d, e and f,
-// and what publishes which of these are emptied.
-func emptyOwner(t *testing.T, roles string) (*Owner, *orderEngine, func(domains ...string)) {
+// evacuationOwner returns an owner with one engine for each letter of roles, spread over the domains
+// d, e and f, and a function that publishes which domains are evacuated.
+func evacuationOwner(t *testing.T, roles string) (*Owner, *orderEngine, func(domains ...string)) {
 	settings := &config.Settings{Host: "h", Domain: "d", Region: "r"}
 	settings.SetDefaults()
 	eng := new(orderEngine)
@@ -45,12 +45,11 @@
 
 func (e *orderEngine) Requests(context.Context, string) ([]endpoint.Running, error) { return nil, nil }
 
-// TestEmptyQueue has requests wait at two engines, of which one's failure domain is
-// emptied: those that wait there are refused at once, the others wait on, and what asks
-// there later is refused.
+// TestEmptyQueue queues requests at two engines and evacuates the failure domain of one. The
+// requests queued there must be refused at once, as must later ones; the others keep waiting.
 func TestEmptyQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o, _, publish := emptyOwner(t, "ppdddd")
+		o, _, publish := evacuationOwner(t, "ppdddd")
 		const waits = 1500 // ms
 		ask := func(name string, n int) EnqueueReply {
 			reply, err := o.Enqueue(t.Context(), EnqueueArgs{Attempt: attempt(n), Endpoint: route.Number(name), Tokens: 10, Slack: 4000, NotYet: waits})
@@ -67,25 +66,25 @@
 		publish("d")
 		began := time.Now()
 		if got := <-replies["r00"]; got.Code != result.Evacuated || got.Retry == 0 || time.Since(began) > 0 {
-			t.Errorf("what waits at the engine that is emptied gets %+v after %v", got, time.Since(began))
+			t.Errorf("a request queued at the evacuated engine gets %+v after %v", got, time.Since(began))
 		}
 		if got := ask("r00", 9); got.Code != result.Evacuated || time.Since(began) > 0 {
-			t.Errorf("what asks there later gets %+v after %v", got, time.Since(began))
+			t.Errorf("a later request there gets %+v after %v", got, time.Since(began))
 		}
 		if got := <-replies["r01"]; got.Code != result.OK || time.Since(began) < time.Second {
-			t.Errorf("what waits elsewhere gets %+v after %v", got, time.Since(began))
+			t.Errorf("a request queued elsewhere gets %+v after %v", got, time.Since(began))
 		}
 		publish()
 		if got := ask("r00", 10); got.Code != result.OK {
-			t.Errorf("taken back, it answers %+v", got)
+			t.Errorf("after the evacuation is revoked it answers %+v", got)
 		}
 	})
 }
 
-// TestEmptyReserve asks for memory before, while and after an engine's failure domain is
-// emptied. What holds memory goes on and gives it back as ever.
+// TestEmptyReserve requests memory before, during and after the evacuation of an engine's failure
+// domain. Reservations made before it stay valid and are released as usual.
 func TestEmptyReserve(t *testing.T) {
-	o, _, publish := emptyOwner(t, "ppdddd")
+	o, _, publish := evacuationOwner(t, "ppdddd")
 	number := route.Number("r03")
 	ask := func(n int) result.Code {
 		a := growingArgs(n, 100, 0, 500)
@@ -101,10 +100,10 @@
 	}
 	publish("d")
 	if code := ask(2); code != result.Evacuated {
-		t.Errorf("code %v while it is emptied, want %v", code, result.Evacuated)
+		t.Errorf("code %v during the evacuation, want %v", code, result.Evacuated)
 	}
 	if h := o.Tell(number); len(h.Rows) != 1 {
-		t.Errorf("%d reservations are handed over, want the one", len(h.Rows))
+		t.Errorf("%d reservations are handed over, want 1", len(h.Rows))
 	}
 	o.Release([]Release{{Attempt: attempt(1), Endpoint: number, Outcome: Done}})
 	if h := o.Tell(number); len(h.Rows) != 0 {
@@ -112,39 +111,39 @@
 	}
 	publish()
 	if code := ask(3); code != result.OK {
-		t.Errorf("code %v once it is taken back", code)
+		t.Errorf("code %v after the evacuation is revoked", code)
 	}
 }
 
-// TestEmptyOrders has the failure domain emptied, or taken back, that holds those that
-// read, and states when this host, whose domain is d, orders.
+// TestEmptyOrders evacuates failure domains that hold prefill or decode engines, and checks
+// when this host, whose domain is d, sends orders to rebalance roles.
 func TestEmptyOrders(t *testing.T) {
 	cases := []struct {
-		name    string
-		roles   string
-		emptied []string
-		early   bool          // from the beginning, before this host may order
-		within  time.Duration // of the first order; 0: none in ten seconds
-		orders  int
-		to      config.Role
+		name      string
+		roles     string
+		evacuated []string
+		early     bool          // evacuated from the beginning, before this host may order
+		within    time.Duration // limit for the first order; 0: no order in ten seconds
+		orders    int
+		to        config.Role
 	}{
-		{"nothing is emptied", "pdd" + "pdd" + "pdd", nil, false, 0, 0, ""},
-		{"all that read are emptied", "dpd" + "dpd" + "dpd", []string{"e"}, false, time.Second, 1, config.Prefill},
-		{"some that read are emptied", "dpp" + "dpd" + "dpd", []string{"e"}, false, 4 * time.Second, 1, config.Prefill},
-		{"the own domain is emptied, and too many read there", "ppp" + "ppd" + "ppd", []string{"d"}, true, 0, 0, ""},
-		{"too many read in the own domain", "ppp" + "ppd" + "ppd", nil, true, time.Second, 2, config.Decode},
-		{"all that write are emptied", "pdd" + "pdd" + "pdd", []string{"e", "f"}, false, time.Second, 1, config.Decode},
+		{"nothing is evacuated", "pdd" + "pdd" + "pdd", nil, false, 0, 0, ""},
+		{"all prefill engines are evacuated", "dpd" + "dpd" + "dpd", []string{"e"}, false, time.Second, 1, config.Prefill},
+		{"some prefill engines are evacuated", "dpp" + "dpd" + "dpd", []string{"e"}, false, 4 * time.Second, 1, config.Prefill},
+		{"the own domain is evacuated and has a prefill surplus", "ppp" + "ppd" + "ppd", []string{"d"}, true, 0, 0, ""},
+		{"prefill surplus in the own domain", "ppp" + "ppd" + "ppd", nil, true, time.Second, 2, config.Decode},
+		{"all decode engines are evacuated", "pdd" + "pdd" + "pdd", []string{"e", "f"}, false, time.Second, 1, config.Decode},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				o, eng, publish := emptyOwner(t, tc.roles)
+				o, eng, publish := evacuationOwner(t, tc.roles)
 				var first time.Duration
 				began := time.Now().Add(6 * time.Second)
 				balancer := o.Balancer()
 				for i := range 32 {
 					if i == 12 && !tc.early || i == 0 && tc.early {
-						publish(tc.emptied...)
+						publish(tc.evacuated...)
 					}
 					o.board.Config.Heard(time.Now())
 					o.board.Pause.Check()
@@ -152,12 +151,12 @@
 						work(t.Context())
 					}
 					if i < 12 && !tc.early && len(eng.orders) > 0 {
-						eng.orders = nil // as it came: not what is looked at
+						eng.orders = nil // not under test: orders before the evacuation
 					}
 					if first == 0 && len(eng.orders) > 0 {
 						first = time.Since(began) + 1
 					}
-					time.Sleep(balanceEvery)
+					time.Sleep(balanceInterval)
 				}
 				if (first == 0) != (tc.within == 0) || first > tc.within+1 || len(eng.orders) != tc.orders {
 					t.Fatalf("%d orders, the first after %v; want %d within %v", len(eng.orders), first, tc.orders, tc.within)
@@ -172,18 +171,18 @@
 	}
 }
 
-// TestEmptyNoOrder checks that an endpoint of a failure domain that is being emptied is
-// ordered into nothing, neither into a role nor into the state that a document states.
+// TestEmptyNoOrder checks that no orders are sent to endpoints of an evacuated failure domain,
+// neither to change the role nor to reach the state that the document asks for.
 func TestEmptyNoOrder(t *testing.T) {
-	for _, emptied := range []bool{false, true} {
-		o, eng, publish := emptyOwner(t, "ppdddd")
-		if emptied {
+	for _, evacuated := range []bool{false, true} {
+		o, eng, publish := evacuationOwner(t, "ppdddd")
+		if evacuated {
 			publish("d")
 		}
 		v := o.board.Config.View()
 		o.order(t.Context(), v.Pools["p"], v.Endpoint("r00"), config.Decode, time.Now())
-		if n := len(eng.orders); (n == 0) != emptied {
-			t.Errorf("emptied %v: %d orders into a role", emptied, n)
+		if n := len(eng.orders); (n == 0) != evacuated {
+			t.Errorf("evacuated %v: %d orders to change the role", evacuated, n)
 		}
 
 		eng.orders = nil
@@ -192,17 +191,17 @@
 		}
 		spec := o.board.Config.View().Endpoint("docket-decode-1")
 		roster := &config.RosterList{Revision: 20}
-		if emptied {
+		if evacuated {
 			roster.Evacuated = []config.Evacuation{{Domain: spec.Domain, Revision: 20}}
 		}
 		if _, err := o.board.Config.OfferRoster(roster.Roster(), time.Now()); err != nil {
 			t.Fatal(err)
 		}
 		v = o.board.Config.View()
-		b := newBook(v, v.Endpoint("docket-decode-1"), 1, time.Now())
-		o.correct(t.Context(), b, &endpoint.State{Role: "other"})
-		if n := len(eng.orders); (n == 0) != emptied {
-			t.Errorf("emptied %v: %d orders into a state", emptied, n)
+		sched := newScheduler(v, v.Endpoint("docket-decode-1"), 1, time.Now())
+		o.correctState(t.Context(), sched, &endpoint.State{Role: "other"})
+		if n := len(eng.orders); (n == 0) != evacuated {
+			t.Errorf("evacuated %v: %d orders to reach the state", evacuated, n)
 		}
 	}
 }
--- a/owner/handover_test.go
+++ b/owner/handover_test.go
@@ -15,7 +15,7 @@
 	"github.com/embercove/embercove/route"
 )
 
-// pairPeers takes calls of one owner to another.
+// pairPeers forwards the calls of one owner to another.
 type pairPeers struct{ other *Owner }
 
 func (p pairPeers) Claims(context.Context, blackboard.Host, []request.Attempt) ([]bool, error) {
@@ -62,19 +62,19 @@
 	return New(b, endpoint.NewClient(nil), zap.NewNop())
 }
 
-// TestInherit checks what a new owner knows of a growing engine: all that the
-// one before it reserved, and nothing that has ended since.
+// TestInherit checks that a new owner of an engine that allocates memory while it decodes gets
+// all reservations of the previous owner, and none that has ended since.
 func TestInherit(t *testing.T) {
 	number := config.NameNumber("e")
 	cases := []struct {
 		name   string
-		known  bool // the owner before stands on a list
+		known  bool // the previous owner has loaded the endpoint's list
 		ended  bool // one request ended before the rows arrive
-		pushed bool // the owner before hands over; else the new one asks
+		pushed bool // the previous owner hands over; otherwise the new one asks
 		rows   int
 	}{
 		{"asked for", true, false, false, 2},
-		{"asked for from one that knows nothing", false, false, false, 2},
+		{"asked for from an owner that has loaded no list", false, false, false, 2},
 		{"handed over", true, false, true, 2},
 		{"handed over after an end", true, true, true, 1},
 	}
@@ -84,32 +84,32 @@
 			before.SetPeers(pairPeers{after})
 			after.SetPeers(pairPeers{before})
 			v := before.board.Config.View()
-			old, young := newBook(v, v.Endpoint("e"), 1, at(0)), newBook(v, v.Endpoint("e"), 1, at(0))
-			before.books[number], after.books[number] = old, young
-			old.ready, young.ready = tc.known, tc.pushed
+			old, fresh := newScheduler(v, v.Endpoint("e"), 1, at(0)), newScheduler(v, v.Endpoint("e"), 1, at(0))
+			before.schedulers[number], after.schedulers[number] = old, fresh
+			old.ready, fresh.ready = tc.known, tc.pushed
 			for n := range 2 {
 				if _, err := old.reserve(at(0), growingArgs(n, 4_000, 500, 0)); err != nil {
 					t.Fatal(err)
 				}
 			}
 			if tc.ended {
-				young.release(at(0), Release{Attempt: attempt(1), Endpoint: number, Outcome: Done})
+				fresh.release(at(0), Release{Attempt: attempt(1), Endpoint: number, Outcome: Done})
 			}
 			if tc.pushed {
-				before.handTo(context.Background(), blackboard.Host{}, old, at(0))
-			} else if told := after.inherit(context.Background(), young); told != tc.known {
-				t.Errorf("told %v, want %v", told, tc.known)
+				before.sendHandover(context.Background(), blackboard.Host{}, old, at(0))
+			} else if told := after.inherit(context.Background(), fresh); told != tc.known {
+				t.Errorf("inherited %v, want %v", told, tc.known)
 			}
-			if n := young.ledger.Len(); n != tc.rows {
+			if n := fresh.ledger.Len(); n != tc.rows {
 				t.Errorf("%d rows, want %d", n, tc.rows)
 			}
 		})
 	}
 }
 
-// TestRoleChanged checks that an endpoint which was ordered into another role is
-// told of as usable as soon as its registration says so, though nobody has asked
-// for it yet: nobody would, by the last that was told of it.
+// TestRoleChanged checks that an endpoint that was ordered into another role is announced as
+// usable as soon as its registration shows the new role. It must not take a request to trigger
+// this: the last digest keeps all requests away.
 func TestRoleChanged(t *testing.T) {
 	for _, to := range []config.Role{config.Prefill, config.Decode} {
 		t.Run(string(to), func(t *testing.T) {
@@ -133,21 +133,21 @@
 				t.Fatal("the other host owns it")
 			}
 			o.adopt(v, now)
-			o.setChanging(config.NameNumber("e"), now.Add(time.Minute))
+			o.markRoleChanging(config.NameNumber("e"), now.Add(time.Minute))
 			offer(3, to)
 			o.adopt(o.board.Config.View(), now.Add(time.Second))
 			for _, d := range o.Digests(now.Add(time.Second)) {
 				if d.Flags != 0 {
-					t.Errorf("told with flags %d", d.Flags)
+					t.Errorf("announced with flags %d", d.Flags)
 				}
 			}
 			if to == config.Prefill && len(o.Digests(now.Add(time.Second))) == 0 {
-				t.Error("nothing is told of the endpoint")
+				t.Error("no digest of the endpoint")
 			}
 			o.board.Endpoints.Read(func(fleet *route.Fleet) {
 				for s := range fleet.All() {
 					if s.Digest.Flags != 0 {
-						t.Errorf("this host still holds flags %d of the role before", s.Digest.Flags)
+						t.Errorf("this host still has flags %d of the previous role", s.Digest.Flags)
 					}
 				}
 			})
--- a/owner/learn.go
+++ b/owner/learn.go
@@ -9,34 +9,34 @@
 	"github.com/embercove/embercove/queue"
 )
 
-// learnHeads takes in a stretch of the cache feed. A gap means that what is
-// known may be wrong, so it is trusted less until it proves true again.
-func (b *Book) learnHeads(e *endpoint.CacheEvents) {
-	if e.Epoch != b.epoch {
-		// The endpoint has restarted: what was asked for was asked of another.
-		asked := b.feed
-		b.heads, b.feed, b.epoch = map[uint32]uint32{}, 0, e.Epoch
+// learnHeads applies a page of the cache feed. After a gap the known heads may be wrong, so the
+// trust in the feed is halved; it recovers as predictions prove right.
+func (s *Scheduler) learnHeads(e *endpoint.CacheEvents) {
+	if e.Epoch != s.feedEpoch {
+		// The endpoint has restarted: the sequence number asked for was of another process.
+		asked := s.feedNext
+		s.cachedHeads, s.feedNext, s.feedEpoch = map[uint32]uint32{}, 0, e.Epoch
 		if asked > 0 {
 			return
 		}
 	}
-	if e.First > b.feed && b.feed > 0 {
-		b.trust /= 2
+	if e.First > s.feedNext && s.feedNext > 0 {
+		s.feedTrust /= 2
 	}
-	b.feed = e.Next
+	s.feedNext = e.Next
 	for _, ev := range e.Events {
 		if ev.Tokens == 0 {
-			delete(b.heads, ev.Head)
+			delete(s.cachedHeads, ev.Head)
 			continue
 		}
-		b.heads[ev.Head] = uint32(ev.Tokens)
+		s.cachedHeads[ev.Head] = uint32(ev.Tokens)
 	}
 }
 
 // Weights of a new observation in the learned averages.
 const (
 	learnFailure   = 0.2
-	learnRejection = 0.1 // a vouched refusal may be the ledger's own mistake
+	learnRejection = 0.1 // a refusal as not run may be due to an error of the ledger
 	learnTrust     = 0.1
 	learnLeaving   = 0.02
 )
@@ -44,50 +44,51 @@
 // blend moves an average towards an observation.
 func blend(avg *float64, seen, weight float64) { *avg += weight * (seen - *avg) }
 
-// release ends what an attempt holds and learns from how it went.
-func (b *Book) release(now time.Time, r Release) *queue.Item {
-	delete(b.confirmed, r.Attempt)
-	delete(b.gone, r.Attempt)
-	b.fadeFailures(now)
+// release frees what an attempt holds and learns from its outcome. It returns the attempt's
+// queue item if it was still queued.
+func (s *Scheduler) release(now time.Time, r Release) *queue.Item {
+	delete(s.claimedAt, r.Attempt)
+	delete(s.holderGoneSince, r.Attempt)
+	s.decayFailures(now)
 	switch r.Outcome {
 	case Left:
-		blend(&b.leaving, 1, learnLeaving)
+		blend(&s.leavingShare, 1, learnLeaving)
 	case Done:
-		blend(&b.failed, 0, learnFailure)
+		blend(&s.failureShare, 0, learnFailure)
 	case Failed:
-		blend(&b.failed, 1, learnFailure)
+		blend(&s.failureShare, 1, learnFailure)
 	case Rejected:
-		blend(&b.failed, 1, learnRejection)
+		blend(&s.failureShare, 1, learnRejection)
 	}
-	if b.ledger != nil {
-		b.ledger.Release(now, ledger.End{Attempt: r.Attempt, Whole: r.Outcome == Done, Answer: r.Answer, Max: r.Max, Expected: r.Expected,
+	if s.ledger != nil {
+		s.ledger.Release(now, ledger.End{Attempt: r.Attempt, Whole: r.Outcome == Done, Answer: r.Answer, Max: r.Max, Expected: r.Expected,
 			Waited: r.Waited, Took: duration(r.Millis)})
 		return nil
 	}
-	if b.queue == nil {
+	if s.queue == nil {
 		return nil
 	}
-	if promised, ok := b.queue.Promised(r.Attempt); ok && r.Outcome == Done {
-		b.learnTrustFrom(promised, r.Cached)
+	if promised, ok := s.queue.Promised(r.Attempt); ok && r.Outcome == Done {
+		s.learnFeedTrust(promised, r.Cached)
 	}
-	b.queue.Done(now, r.Attempt, r.Outcome == Done, duration(r.Millis))
-	return b.queue.Cancel(r.Attempt)
+	s.queue.Done(now, r.Attempt, r.Outcome == Done, duration(r.Millis))
+	return s.queue.Cancel(r.Attempt)
 }
 
-// forgiveAfter is the time in which the share of failures halves when nothing
-// is sent, so that an endpoint that was left is tried again.
-const forgiveAfter = 10 * time.Second
+// failureHalfLife is the half-life of the share of failures while nothing is sent, so that an
+// endpoint that requests have avoided is tried again.
+const failureHalfLife = 10 * time.Second
 
-func (b *Book) fadeFailures(now time.Time) {
-	b.failed *= math.Exp2(-now.Sub(b.failedAt).Seconds() / forgiveAfter.Seconds())
-	b.failedAt = now
+func (s *Scheduler) decayFailures(now time.Time) {
+	s.failureShare *= math.Exp2(-now.Sub(s.failureShareAt).Seconds() / failureHalfLife.Seconds())
+	s.failureShareAt = now
 }
 
-// learnTrustFrom compares the cached tokens that the engine found with what
-// the feed had promised for the prompt.
-func (b *Book) learnTrustFrom(promised, found int) {
-	if promised < minHead {
+// learnFeedTrust compares the number of cached tokens that the engine found with the number
+// that the feed promised for the prompt.
+func (s *Scheduler) learnFeedTrust(promised, found int) {
+	if promised < minDigestHeadTokens {
 		return
 	}
-	blend(&b.trust, min(1, float64(found)/float64(promised)), learnTrust)
+	blend(&s.feedTrust, min(1, float64(found)/float64(promised)), learnTrust)
 }
--- a/owner/lone.go
+++ b/owner/lone.go
@@ -10,34 +10,34 @@
 	"github.com/embercove/embercove/route"
 )
 
-// lone is what this host sends to an endpoint by itself, while its owner is out of reach.
-type lone struct {
+// isolatedPace paces this host's calls to an endpoint whose owner is unreachable.
+type isolatedPace struct {
 	pace.Lone
-	used time.Time
+	lastUsed time.Time
 }
 
-// AskAlone asks for a start at an endpoint that names a limit and whose owner is out of reach;
-// even is this host's even part of the fleet. A cold endpoint gets none: its bound has no room
-// for what a host doesn't tell the others.
-func (s *Starts) AskAlone(spec *config.Endpoint, even float64) (in time.Duration, given bool) {
+// AskAlone requests a permit at an endpoint that names a limit and whose owner is unreachable.
+// fairShare is this host's equal share of the fleet. A cold endpoint gets no such permits: its bound
+// leaves no margin for calls that the other hosts don't know of.
+func (s *Starts) AskAlone(spec *config.Endpoint, fairShare float64) (in time.Duration, given bool) {
 	number, now := route.Number(spec.Name), clock.Now()
-	perSecond, may := 0.0, false
+	perSecond, allowed := 0.0, false
 	s.board.Endpoints.Find(number, func(_ *config.View, st *route.State) {
-		perSecond, may = st.Limit.Limit(now)
-		may = may && !st.Cold(time.Now())
+		perSecond, allowed = st.Limit.Limit(now)
+		allowed = allowed && !st.Cold(time.Now())
 	})
-	if !may {
+	if !allowed {
 		return pace.Never, false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := s.lones[number]
-	if l == nil {
-		l = &lone{Lone: pace.Lone{Phase: rand.Float64()}}
-		s.lones[number] = l
+	p := s.isolated[number]
+	if p == nil {
+		p = &isolatedPace{Lone: pace.Lone{Phase: rand.Float64()}}
+		s.isolated[number] = p
 	}
-	l.used = now
-	if in, given = l.Ask(now, perSecond, even); given {
+	p.lastUsed = now
+	if in, given = p.Ask(now, perSecond, fairShare); given {
 		s.Alone.Add(1)
 	}
 	return in, given
--- a/owner/messages.go
+++ b/owner/messages.go
@@ -8,82 +8,81 @@
 	"github.com/embercove/embercove/route"
 )
 
-// The messages between an entry host and an owner. Times are durations in
-// ms from the arrival of the message, because hosts' clocks differ; field
-// names are short, because they cross the wire once for each connection.
+// The messages between entry hosts and owners. Times are durations in ms from the arrival of
+// the message, because the clocks of hosts differ. Field names are short, because gob sends
+// them once per connection.
 
-// ReserveArgs asks for decode memory at a moment to come.
+// ReserveArgs requests decode memory for a time in the future.
 type ReserveArgs struct {
 	Attempt   request.Attempt
 	Endpoint  uint32 // route.Number
 	Tokens    int    // of the prompt
 	MaxAnswer int
-	Expected  int    // tokens of the answer by the caller's own guess; 0: none
-	Mark      uint64 // of the id by which the engine lists the request; 0: the attempt itself
+	Expected  int    // tokens of the answer as estimated by the caller; 0: no estimate
+	Mark      uint64 // hash of the id by which the engine lists the request; 0: the attempt itself
 	Forwarded bool   // by an owner that is leaving
-	Abroad    bool   // for a request that left its region
+	Abroad    bool   // for a cross-region request
 	Bytes     int64  // to transfer
-	InMillis  int    // when the prefill is expected to end
-	Slack     int    // ms by which the start may come later
+	InMillis  int    // time until the prefill is expected to end
+	Slack     int    // ms by which the start may be delayed
 	Team      uint32
 	Priority  int
-	// Spare asks for room for a copy of an answer that another endpoint writes, beside
-	// which so many tokens have to stay free; 0: the answer is written here.
+	// Spare requests memory for a replica of an answer that another endpoint decodes. That
+	// many tokens have to stay free besides. 0: the answer is decoded here.
 	Spare int
 }
 
 // ReserveReply grants a reservation (Code is result.OK) or refuses it.
 type ReserveReply struct {
 	Code     result.Code
-	InMillis int // when the transfer may start
-	Retry    int // ms after which to come back
+	InMillis int // time until the transfer may start
+	Retry    int // ms after which to retry
 	Digest   route.Digest
 }
 
-// EnqueueArgs asks to be called when the prefill engine is free. The reply
-// comes when it is, or when it is clear that it won't be in time.
+// EnqueueArgs requests a prefill slot. The reply is sent when the prefill engine is free for
+// the request, or as soon as it is clear that it won't be in time.
 type EnqueueArgs struct {
 	Attempt  request.Attempt
 	Endpoint uint32
 	Tokens   int // of the prompt
 	Head     uint32
 	HasHead  bool
-	Slack    int  // ms by which reading must have ended
+	Slack    int  // ms by which the prefill must have ended
 	Expect   int  // ms that the wait is expected to take; 0: unknown
-	NotYet   int  // ms before which reading should not end
-	Abroad   bool // for a request that left its region
+	NotYet   int  // ms before which the prefill should not end
+	Abroad   bool // for a cross-region request
 	Team     uint32
 	Priority int
 }
 
-// EnqueueReply calls the request to the engine (Code is result.OK) or
-// refuses it.
+// EnqueueReply grants the prefill slot (Code is result.OK) or refuses the request.
 type EnqueueReply struct {
 	Code   result.Code
 	Retry  int
 	Digest route.Digest
 }
 
-// KeptArgs asks whether decode endpoints keep a prompt.
+// KeptArgs asks how much of a prompt decode endpoints have cached.
 type KeptArgs struct {
 	Endpoints []uint32
 	Head      uint32 // of the prompt
 }
 
-// KeptReply answers in the same order.
+// KeptReply holds the numbers of cached tokens, in the order of KeptArgs.Endpoints.
 type KeptReply struct{ Tokens []uint32 }
 
-// Release ends what an attempt holds at an owner and tells what was learned.
+// Release frees what an attempt holds at an owner and reports its outcome.
 type Release struct {
 	Attempt  request.Attempt
 	Endpoint uint32
 	Outcome  Outcome
-	Answer   int  // decode: tokens written
-	Max      int  // decode: tokens asked for
-	Expected int  // decode: tokens that the caller guessed; 0: none
+	Answer   int  // decode: tokens of the answer
+	Max      int  // decode: maximum answer length requested
+	Expected int  // decode: tokens estimated by the caller; 0: no estimate
 	Cached   int  // prefill: tokens that the engine had cached
-	Waited   bool // decode: the engine was full when the request came
-	Millis   int  // time at the engine; decode: from the first piece to the last
+	Waited   bool // decode: the engine was full when the request arrived
+	Millis   int  // time at the engine; decode: from the first event to the last
 }
 
 // Outcome is how an attempt at an endpoint ended.
@@ -92,20 +91,20 @@
 // The outcomes.
 const (
 	Done     Outcome = iota
-	GivenUp          // by the entry host, before it began
-	Left             // by the caller
-	Failed           // the endpoint broke it
+	GivenUp          // abandoned by the entry host before it started
+	Left             // the caller left
+	Failed           // failed at the endpoint
 	Rejected         // the endpoint refused it as not run
 )
 
-// Handover is what a leaving owner tells its successor of an endpoint.
+// Handover carries an owner's reservations at an endpoint to its successor.
 type Handover struct {
 	Endpoint uint32
-	Known    bool // the teller's book stood on more than its own reservations
+	Known    bool // the sender had loaded the endpoint's state, and not just made reservations
 	Rows     []HandoverRow
 }
 
-// HandoverRow is one reservation that the endpoint can't know of yet.
+// HandoverRow is one reservation, which the endpoint may not know of yet.
 type HandoverRow struct {
 	Attempt   request.Attempt
 	Team      uint32
@@ -116,7 +115,7 @@
 	Start     int // ms from now; negative: past
 	Moved     int
 	Lease     int
-	Seen      bool // the endpoint's list had it
+	Seen      bool // the endpoint's list has contained it
 }
 
 // millis converts a duration for a message, rounding up.
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -1,12 +1,12 @@
-// Package owner decides for the endpoints that this entry host owns: it keeps
-// the ledger of decode memory and the queue before prefill, polls the
-// endpoints, frees what is orphaned and sends orders.
+// Package owner schedules work for the endpoints that this entry host owns. It
+// keeps the ledger of decode memory and the prefill queue, polls the endpoints,
+// cancels orphaned attempts and sends orders.
 //
-// An endpoint's owner is the host of its failure domain that wins a
-// rendezvous hash over the live, not leaving hosts. Nobody elects it: hosts
-// that see the same members agree, and while they don't, two may own one
-// endpoint. That costs a refused admission at the engine and breaks no
-// promise, because no promise rests on the ledger.
+// The owner of an endpoint is the host of its failure domain that wins a
+// rendezvous hash over the live hosts that are not leaving. There is no election:
+// hosts with the same view of the members agree. While views differ, two hosts may
+// own the same endpoint. The engine then refuses an admission now and then, but no
+// guarantee is broken, because none depends on the ledger.
 package owner
 
 import (
@@ -28,62 +28,62 @@
 	"github.com/embercove/embercove/route"
 )
 
-// Peers is what an owner asks of other entry hosts.
+// Peers makes an owner's calls to other entry hosts.
 type Peers interface {
-	// Claims asks a host which of the attempts it still holds.
+	// Claims asks a host which of the attempts it still has open.
 	Claims(ctx context.Context, host blackboard.Host, attempts []request.Attempt) ([]bool, error)
-	// Handover tells a host what its predecessor reserved.
+	// Handover sends a host the reservations made by its predecessor.
 	Handover(ctx context.Context, host blackboard.Host, h Handover) error
-	// Inherit asks a host what it has reserved of an endpoint.
+	// Inherit asks a host for its reservations at an endpoint.
 	Inherit(ctx context.Context, host blackboard.Host, endpoint uint32) (Handover, error)
-	// Vote asks a host for its votes for endpoints whose starts are given out.
+	// Vote asks a host for its votes for the endpoints that need start permits.
 	Vote(ctx context.Context, host blackboard.Host, a VoteArgs) (VoteReply, error)
-	// Heard takes in what an answer of an endpoint to this host said of its limit.
+	// Heard records the limit that an endpoint named in a response to this host.
 	Heard(spec *config.Endpoint, w pace.Word)
-	// LimitTold takes in what another host told of an endpoint's limit.
+	// LimitTold records an endpoint's limit as reported by another host.
 	LimitTold(spec *config.Endpoint, t pace.Told)
 }
 
-// Owner holds the books of owned endpoints.
+// Owner holds the schedulers of owned endpoints.
 type Owner struct {
 	board  *blackboard.Board
 	engine endpoint.Engine
 	peers  Peers
 	log    *zap.Logger
 
-	mu    sync.Mutex
-	books map[uint32]*Book
+	mu         sync.Mutex
+	schedulers map[uint32]*Scheduler
 
 	balance balance
-	Starts  *Starts // at endpoints that are cold or name a limit
+	Starts  *Starts // permits for endpoints that are cold or name a limit
 
 	nextAdopt time.Time
-	owned     map[uint32]bool // nil: not worked out yet
-	ownedBy   ownedBy
+	owned     map[uint32]bool // nil: not computed yet
+	ownedFor  ownershipInputs
 
 	// Counters for metrics and tests.
 	Reaped   atomic.Uint64 // orphaned attempts that were cancelled
 	Orders   atomic.Uint64 // orders sent
 	Takeover atomic.Uint64 // endpoints taken over
-	Polls    atomic.Uint64 // calls to endpoints for control
-	// TurnedAway counts requests refused as their endpoint's failure domain is emptied.
+	Polls    atomic.Uint64 // control calls to endpoints
+	// TurnedAway counts requests refused because their endpoint's failure domain is evacuated.
 	TurnedAway atomic.Uint64
 }
 
-// New returns an owner without books.
+// New returns an owner without schedulers.
 func New(b *blackboard.Board, e endpoint.Engine, log *zap.Logger) *Owner {
-	o := &Owner{board: b, engine: e, log: log, books: map[uint32]*Book{}}
-	o.balance.ordered, o.balance.looks, o.balance.orderer = map[uint32]time.Time{}, map[string]*roles.Looks{}, map[uint32]tenure{}
+	o := &Owner{board: b, engine: e, log: log, schedulers: map[uint32]*Scheduler{}}
+	o.balance.orderedAt, o.balance.imbalances, o.balance.tenures = map[uint32]time.Time{}, map[string]*roles.Looks{}, map[uint32]tenure{}
 	o.Starts = newStarts(b, func() Peers { return o.peers }, log)
-	b.Pause.OnWake(o.dropBeliefs)
+	b.Pause.OnWake(o.resetAfterPause)
 	return o
 }
 
-// SetPeers sets how other hosts are reached, before the owner is used.
+// SetPeers sets the client for calls to other hosts. It must be called before the owner is used.
 func (o *Owner) SetPeers(p Peers) { o.peers = p }
 
-// Of returns the host that owns an endpoint, by this host's view of the
-// members. ok is false when the domain has no live host.
+// Of returns the host that owns an endpoint according to this host's view of the
+// members. ok is false if the domain has no live host.
 func Of(b *blackboard.Board, v *config.View, e *config.Endpoint, now time.Time) (blackboard.Host, bool) {
 	switch v.Doc.Policy.Mode {
 	case config.ModeShare:
@@ -95,12 +95,12 @@
 	if h, ok := b.Hosts.First(key, e.Domain, now); ok {
 		return h, true
 	}
-	// The domain has lost its hosts; another domain's may still reach it.
+	// The domain has no host left, but hosts of other domains may still reach its endpoints.
 	return b.Hosts.FirstOfRegion(key, v.Region[e.Domain], now)
 }
 
-// share is the part of an endpoint that this host's ledger may give out:
-// all of it, or under the fixed shares of baseline B one part for each host.
+// share is the part of an endpoint's capacity that this host's ledger may allocate:
+// all of it, or one equal part per host in the fixed-share mode (baseline B).
 func (o *Owner) share(v *config.View) float64 {
 	if v.Doc.Policy.Mode != config.ModeShare {
 		return 1
@@ -108,12 +108,12 @@
 	return 1 / float64(max(1, o.board.Hosts.Len()))
 }
 
-// takeoverTimeout bounds the reading of an endpoint's list at a takeover.
+// takeoverTimeout bounds the calls made to take an endpoint over or to hand it over.
 const takeoverTimeout = 300 * time.Millisecond
 
-// book returns the book of an endpoint, taking the endpoint over if need be:
-// a new owner starts from the endpoint's own list of what it runs.
-func (o *Owner) book(ctx context.Context, number uint32) (*Book, error) {
+// scheduler returns the scheduler of an endpoint and takes the endpoint over if necessary.
+// A new owner starts from the endpoint's own list of running requests.
+func (o *Owner) scheduler(ctx context.Context, number uint32) (*Scheduler, error) {
 	v := o.board.Config.View()
 	if v == nil {
 		return nil, result.Errorf(result.NotReady, "no configuration yet")
@@ -124,47 +124,47 @@
 	}
 	now := time.Now()
 	o.mu.Lock()
-	b := o.books[number]
-	if b == nil || b.role != spec.Role {
-		b = o.open(v, spec, now)
+	sched := o.schedulers[number]
+	if sched == nil || sched.role != spec.Role {
+		sched = o.openScheduler(v, spec, now)
 	}
 	o.mu.Unlock()
-	b.mu.Lock()
-	b.fit(v, o.share(v))
-	b.used = now
-	ready := b.ready
-	b.mu.Unlock()
+	sched.mu.Lock()
+	sched.applyView(v, o.share(v))
+	sched.lastUsed = now
+	ready := sched.ready
+	sched.mu.Unlock()
 	if !ready {
-		o.takeOver(ctx, b)
+		o.takeOver(ctx, sched)
 	}
-	return b, nil
+	return sched, nil
 }
 
-// open begins a book of an endpoint with the pace that others of its pool show;
-// the caller holds the lock.
-func (o *Owner) open(v *config.View, spec *config.Endpoint, now time.Time) *Book {
-	b := newBook(v, spec, o.share(v), now)
-	pace := o.poolPace(spec)
-	if b.queue != nil && pace.SlowPct > 0 {
-		b.queue.Pace.Inherit(float64(pace.SlowPct)/100, duration(int(pace.LagMillis)))
+// openScheduler creates the scheduler of an endpoint. Its initial pace is the median of similar
+// endpoints. The caller holds the lock.
+func (o *Owner) openScheduler(v *config.View, spec *config.Endpoint, now time.Time) *Scheduler {
+	sched := newScheduler(v, spec, o.share(v), now)
+	pace := o.medianPace(spec)
+	if sched.queue != nil && pace.SlowPct > 0 {
+		sched.queue.Pace.Inherit(float64(pace.SlowPct)/100, duration(int(pace.LagMillis)))
 	}
-	if b.ledger != nil {
-		b.ledger.InheritPace(pace.SlowPct)
+	if sched.ledger != nil {
+		sched.ledger.InheritPace(pace.SlowPct)
 	}
-	o.books[b.number] = b
+	o.schedulers[sched.number] = sched
 	o.Takeover.Add(1)
-	return b
+	return sched
 }
 
-// mostPaces is how many endpoints' paces make a median.
-const mostPaces = 64
+// maxPaceSamples is the maximum number of endpoints whose paces are sampled for a median.
+const maxPaceSamples = 64
 
-// poolPace returns the medians of the paces that are told of endpoints like this one.
-func (o *Owner) poolPace(spec *config.Endpoint) (d route.Digest) {
+// medianPace returns the median of the paces reported for endpoints like this one.
+func (o *Owner) medianPace(spec *config.Endpoint) (d route.Digest) {
 	var slow, lag []uint32
 	o.board.Endpoints.Read(func(fleet *route.Fleet) {
 		for _, s := range fleet.Alike(spec) {
-			if s.Digest.SlowPct > 0 && len(slow) < mostPaces {
+			if s.Digest.SlowPct > 0 && len(slow) < maxPaceSamples {
 				slow = append(slow, uint32(s.Digest.SlowPct))
 				lag = append(lag, s.Digest.LagMillis)
 			}
@@ -179,48 +179,48 @@
 	return d
 }
 
-// takeOver asks the host that owned the endpoint before for what it reserved,
-// and reads the endpoint's list. When both fail the book starts empty: the
-// engine's admission then corrects it.
-func (o *Owner) takeOver(ctx context.Context, b *Book) {
+// takeOver loads the state of an endpoint: the previous owner's reservations, or else
+// the endpoint's own list. If both fail the scheduler starts empty, and refusals by the
+// engine correct it.
+func (o *Owner) takeOver(ctx context.Context, sched *Scheduler) {
 	ctx, cancel := context.WithTimeout(ctx, takeoverTimeout)
 	defer cancel()
-	if b.ledger != nil && b.spec.GrowsMemory && o.inherit(ctx, b) {
+	if sched.ledger != nil && sched.spec.GrowsMemory && o.inherit(ctx, sched) {
 		return
 	}
-	list, err := o.engine.Requests(ctx, b.spec.Address)
+	list, err := o.engine.Requests(ctx, sched.spec.Address)
 	o.Polls.Add(1)
 	now := time.Now()
-	b.mu.Lock()
-	defer b.mu.Unlock()
+	sched.mu.Lock()
+	defer sched.mu.Unlock()
 	if err == nil {
-		o.takeList(b, now, list)
+		o.applyList(sched, now, list)
 	}
-	b.ready = true
+	sched.ready = true
 }
 
-// dropBeliefs forgets what was known before a pause of the process. Waiting
-// requests are refused: their callers have long gone elsewhere.
-func (o *Owner) dropBeliefs(now time.Time) {
+// resetAfterPause drops all state from before a pause of the process. Queued requests are
+// refused, because their hosts have placed them elsewhere in the meantime.
+func (o *Owner) resetAfterPause(now time.Time) {
 	o.mu.Lock()
-	books := o.books
+	schedulers := o.schedulers
 	for number := range o.owned {
 		o.board.Endpoints.SetOwn(number, false)
 	}
-	o.books, o.owned = map[uint32]*Book{}, nil
+	o.schedulers, o.owned = map[uint32]*Scheduler{}, nil
 	o.mu.Unlock()
-	for _, b := range books {
-		b.mu.Lock()
-		if b.queue != nil {
-			for _, it := range b.queue.Clear() {
-				it.Answer <- result.Errorf(result.NoEndpoint, "the owner was paused").After(time.Second)
+	for _, sched := range schedulers {
+		sched.mu.Lock()
+		if sched.queue != nil {
+			for _, it := range sched.queue.Clear() {
+				it.Answer <- result.Errorf(result.NoEndpoint, "the owner's process was paused").After(time.Second)
 			}
 		}
-		b.mu.Unlock()
+		sched.mu.Unlock()
 	}
 }
 
-// Digests returns fresh digests of the endpoints that this host owns.
+// Digests returns current digests of the endpoints that this host owns.
 func (o *Owner) Digests(now time.Time) []route.Digest {
 	v := o.board.Config.View()
 	if v == nil {
@@ -228,28 +228,28 @@
 	}
 	reserves := v.Doc.Policy.Mode.Reserves()
 	o.mu.Lock()
-	books := make([]*Book, 0, len(o.books))
-	for _, b := range o.books {
-		books = append(books, b)
+	schedulers := make([]*Scheduler, 0, len(o.schedulers))
+	for _, sched := range o.schedulers {
+		schedulers = append(schedulers, sched)
 	}
 	o.mu.Unlock()
 	var out []route.Digest
-	for _, b := range books {
-		if !o.owns(v, b, now) {
+	for _, sched := range schedulers {
+		if !o.owns(v, sched, now) {
 			continue
 		}
-		b.mu.Lock()
-		if b.ready {
-			out = append(out, b.digest(now, reserves))
+		sched.mu.Lock()
+		if sched.ready {
+			out = append(out, sched.digest(now, reserves))
 		}
-		b.mu.Unlock()
+		sched.mu.Unlock()
 	}
 	return out
 }
 
-// owns reports whether this host is the book's owner by its own view.
-func (o *Owner) owns(v *config.View, b *Book, now time.Time) bool {
-	spec := v.Endpoints.Get(b.number)
+// owns reports whether this host owns the endpoint according to its own view.
+func (o *Owner) owns(v *config.View, sched *Scheduler, now time.Time) bool {
+	spec := v.Endpoints.Get(sched.number)
 	if spec == nil {
 		return false
 	}
--- a/owner/pace_test.go
+++ b/owner/pace_test.go
@@ -11,16 +11,16 @@
 	"github.com/embercove/embercove/route"
 )
 
-// readingEngine is an engine that reads prompts one after the other at a rate,
-// and tells of each after a fixed time more.
-type readingEngine struct {
+// prefillEngine is an engine that prefills prompts one after the other at a fixed rate and
+// reports each prefill's end after a fixed lag.
+type prefillEngine struct {
 	rate float64 // tokens a second
 	lag  time.Duration
 	free time.Time
 }
 
-// read returns when a prompt that is sent now has been read and told of.
-func (e *readingEngine) read(now time.Time, tokens int) time.Time {
+// prefill returns when the prefill of a prompt that is sent now is reported as ended.
+func (e *prefillEngine) prefill(now time.Time, tokens int) time.Time {
 	if e.free.Before(now) {
 		e.free = now
 	}
@@ -28,9 +28,9 @@
 	return e.free.Add(e.lag)
 }
 
-// prefillBook returns a book of a prefill engine that is taken to read 40,000
-// tokens a second, as one is of which nothing is known.
-func prefillBook(t *testing.T) *Book {
+// prefillScheduler returns a scheduler of a prefill engine with the default estimate of 40,000
+// tokens a second, as for an engine of which nothing is known.
+func prefillScheduler(t *testing.T) *Scheduler {
 	t.Helper()
 	v, err := config.NewView(1, examples.Domaskra)
 	if err != nil {
@@ -38,52 +38,51 @@
 	}
 	spec := *v.Endpoint("docket-decode-1")
 	spec.Role, spec.TokensPerSecond, spec.Registered = config.Prefill, config.DefaultTokensPerSecond, true
-	return newBook(v, &spec, 1, at(0))
+	return newScheduler(v, &spec, 1, at(0))
 }
 
-// TestReadPace feeds an engine through its book with more prompts than it can
-// read and states which part of its rate is used, and how late the prompts
-// that were called are read.
+// TestReadPace offers an engine more prompts than it can prefill, and checks that its scheduler
+// learns the actual rate: most of the rate must be used, and few admitted prompts may end late.
 func TestReadPace(t *testing.T) {
 	const tokens, slack, span = 3000, 800, 20_000 // the latter two in ms
 	cases := []struct {
-		name string
-		rate float64
-		lag  time.Duration
-		tell int // of so many ends one is told
+		name        string
+		rate        float64
+		lag         time.Duration
+		reportEvery int // one of this many ends is reported
 	}{
-		{"as believed", 40_000, 0, 1},
-		{"slower than believed", 33_333, 0, 1},
-		{"slower, and a fixed time for each prompt", 33_333, 50 * time.Millisecond, 1},
-		{"the same, few ends told", 33_333, 50 * time.Millisecond, 4},
+		{"as estimated", 40_000, 0, 1},
+		{"slower than estimated", 33_333, 0, 1},
+		{"slower, with a fixed lag for each prompt", 33_333, 50 * time.Millisecond, 1},
+		{"the same, with few ends reported", 33_333, 50 * time.Millisecond, 4},
 		{"half the rate", 20_000, 50 * time.Millisecond, 1},
-		{"faster than believed", 60_000, 20 * time.Millisecond, 1},
+		{"faster than estimated", 60_000, 20 * time.Millisecond, 1},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			b := prefillBook(t)
-			e := &readingEngine{rate: tc.rate, lag: tc.lag, free: at(0)}
+			sched := prefillScheduler(t)
+			e := &prefillEngine{rate: tc.rate, lag: tc.lag, free: at(0)}
 			type end struct {
 				at  time.Time
 				rel Release
 			}
 			var ends []end
 			waiting := map[request.Attempt]*queue.Item{}
-			read, late, n := 0, 0, 0
+			prefilled, lateCount, n := 0, 0, 0
 			for ms := 0; ms < span; ms += 5 {
 				now := at(ms)
 				for len(ends) > 0 && !ends[0].at.After(now) {
-					b.release(now, ends[0].rel)
+					sched.release(now, ends[0].rel)
 					ends = ends[1:]
 				}
-				if ms%40 == 0 { // 75,000 tokens a second are asked for
+				if ms%40 == 0 { // 75,000 tokens a second are offered
 					n++
 					a := EnqueueArgs{Attempt: request.Attempt{Number: uint32(n)}, Tokens: tokens, Slack: slack}
-					if it, _ := b.admit(now, a); it != nil {
+					if it, _ := sched.admit(now, a); it != nil {
 						waiting[it.Attempt] = it
 					}
 				}
-				b.turn(now)
+				sched.runQueue(now)
 				for a, it := range waiting {
 					select {
 					case refusal := <-it.Answer:
@@ -91,41 +90,41 @@
 						if refusal != nil {
 							continue
 						}
-						done := e.read(now, tokens)
+						done := e.prefill(now, tokens)
 						if ms >= span/2 {
-							read += tokens
+							prefilled += tokens
 							if done.After(it.Came.Add(slack * time.Millisecond)) {
-								late++
+								lateCount++
 							}
 						}
-						if n%tc.tell == 0 {
+						if n%tc.reportEvery == 0 {
 							ends = append(ends, end{done, Release{Attempt: a, Outcome: Done, Millis: int(done.Sub(now).Milliseconds())}})
 						}
 					default:
 					}
 				}
 			}
-			used := float64(read) / tc.rate / (span / 2 / 1000)
+			used := float64(prefilled) / tc.rate / (span / 2 / 1000)
 			if used < 0.9 {
 				t.Errorf("%.2f of the engine's rate used, want 0.9 or more", used)
 			}
-			if n := read / tokens; late > n/10 {
-				t.Errorf("%d of %d prompts were read too late", late, n)
+			if n := prefilled / tokens; lateCount > n/10 {
+				t.Errorf("%d of %d prefills ended too late", lateCount, n)
 			}
 		})
 	}
 }
 
-// TestPoolPace checks that the book of an engine of which nothing is known
-// begins with the pace that is told of others of its pool and role.
+// TestPoolPace checks that the scheduler of an engine of which nothing is known starts with the
+// pace reported for other engines of its pool and role.
 func TestPoolPace(t *testing.T) {
 	o := testOwner(t, "a", "b")
 	v := o.board.Config.View()
 	spec := v.Endpoint("e")
 	spec.GrowsMemory = true
 	o.board.Endpoints.Learn(route.Digest{Number: route.Number("e"), SlowPct: 650}, time.Now())
-	b := o.open(v, spec, time.Now())
-	if got := b.ledger.SlowPct(); got != 650 {
+	sched := o.openScheduler(v, spec, time.Now())
+	if got := sched.ledger.SlowPct(); got != 650 {
 		t.Errorf("a pace of %d, want 650", got)
 	}
 }
--- a/owner/poll.go
+++ b/owner/poll.go
@@ -19,26 +19,23 @@
 // pollTimeout bounds a control call to an endpoint.
 const pollTimeout = 500 * time.Millisecond
 
-// feedEvery is how often the cache feed is read.
-const feedEvery = 2 * time.Second
+// feedInterval is the interval of reads of the cache feed.
+const feedInterval = 2 * time.Second
 
-// idleBook is how long a book is kept that this host doesn't own and that
-// nobody asks for.
-const idleBook = 5 * time.Second
+// idleSchedulerKept is how long an unused scheduler is kept if this host doesn't own its endpoint.
+const idleSchedulerKept = 5 * time.Second
 
-// standInFor is how long after it was last asked for a book is polled that this host
-// doesn't own. Hosts that see other members ask one that doesn't own the endpoint by
-// its own view; with its book polled for all of idleBook, each endpoint was asked
-// for its report by several hosts whenever views differed.
-const standInFor = time.Second
+// pollNotOwnedFor is how long after its last use an endpoint is polled if this host doesn't own it.
+// Hosts with another view of the members send requests to a host that isn't the owner by its
+// own view. When such endpoints were polled for all of idleSchedulerKept, several hosts polled
+// each endpoint whenever views differed.
+const pollNotOwnedFor = time.Second
 
-// listSoon is the time until the next report while nothing is known of the time that an
-// engine takes for a step.
-const listSoon = 400 * time.Millisecond
+// maxUnpacedInterval is the maximum time between state polls while an engine's step time is still unknown.
+const maxUnpacedInterval = 400 * time.Millisecond
 
-// Poller returns the controller that polls owned endpoints. It hands out one
-// endpoint at a time, so that several workers poll side by side and a frozen
-// endpoint holds up one of them.
+// Poller returns the controller that polls owned endpoints. Each piece of work polls one
+// endpoint, so that several workers poll in parallel and a frozen endpoint blocks only one.
 func (o *Owner) Poller() blackboard.Controller { return poller{o} }
 
 type poller struct{ o *Owner }
@@ -54,20 +51,20 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	var again time.Time
-	for _, b := range o.books {
-		b.mu.Lock()
-		if !b.polled() || !o.owned[b.number] && now.Sub(b.used) > standInFor {
-			b.mu.Unlock()
+	for _, sched := range o.schedulers {
+		sched.mu.Lock()
+		if !sched.needsPolling() || !o.owned[sched.number] && now.Sub(sched.lastUsed) > pollNotOwnedFor {
+			sched.mu.Unlock()
 			continue
 		}
-		due := b.due()
-		if !b.polling && !due.After(now) {
-			b.polling = true
-			b.mu.Unlock()
-			return func(ctx context.Context) { o.poll(ctx, b) }, time.Time{}
+		due := sched.nextPoll()
+		if !sched.polling && !due.After(now) {
+			sched.polling = true
+			sched.mu.Unlock()
+			return func(ctx context.Context) { o.poll(ctx, sched) }, time.Time{}
 		}
-		busy := b.polling
-		b.mu.Unlock()
+		busy := sched.polling
+		sched.mu.Unlock()
 		if !busy && (again.IsZero() || due.Before(again)) {
 			again = due
 		}
@@ -75,226 +72,226 @@
 	return nil, again
 }
 
-// polled reports whether the endpoint is asked for reports. One that
-// registered itself tells its state where it did; only what its memory holds
-// is worth asking for.
-func (b *Book) polled() bool { return !b.spec.Registered || b.ledger != nil }
+// needsPolling reports whether the endpoint needs polling. An endpoint that registered itself
+// keeps its state in its registration, so only the contents of decode memory need polls.
+func (s *Scheduler) needsPolling() bool { return !s.spec.Registered || s.ledger != nil }
 
-func (b *Book) due() time.Time {
-	t := b.nextState
-	if b.nextList.Before(t) {
-		t = b.nextList
+func (s *Scheduler) nextPoll() time.Time {
+	t := s.nextState
+	if s.nextList.Before(t) {
+		t = s.nextList
 	}
-	if b.queue != nil && b.nextFeed.Before(t) {
-		t = b.nextFeed
+	if s.queue != nil && s.nextFeed.Before(t) {
+		t = s.nextFeed
 	}
 	return t
 }
 
 // poll does what is due for one endpoint.
-func (o *Owner) poll(ctx context.Context, b *Book) {
-	s := o.board.Settings
+func (o *Owner) poll(ctx context.Context, sched *Scheduler) {
+	settings := o.board.Settings
 	now := time.Now()
-	every := o.pollEach(b, config.Millis(s.PollMillis))
-	b.mu.Lock()
-	b.fit(o.board.Config.View(), o.share(o.board.Config.View()))
-	state, list, feed := !b.nextState.After(now), !b.nextList.After(now), o.feeds(b) && !b.nextFeed.After(now)
+	every := o.pollInterval(sched, config.Millis(settings.PollMillis))
+	sched.mu.Lock()
+	sched.applyView(o.board.Config.View(), o.share(o.board.Config.View()))
+	state, list, feed := !sched.nextState.After(now), !sched.nextList.After(now), o.followsFeed(sched) && !sched.nextFeed.After(now)
 	next := func(t *time.Time, due bool, every time.Duration) {
 		if due {
 			*t = now.Add(every)
 		}
 	}
-	if b.ledger != nil && b.ledger.Unpaced() {
-		every = min(every, listSoon)
+	if sched.ledger != nil && sched.ledger.Unpaced() {
+		every = min(every, maxUnpacedInterval)
 	}
-	next(&b.nextState, state, every)
-	next(&b.nextList, list, config.Millis(s.ListMillis))
-	next(&b.nextFeed, feed, feedEvery)
-	b.mu.Unlock()
-	if b.fresh() {
-		o.takeOver(ctx, b)
+	next(&sched.nextState, state, every)
+	next(&sched.nextList, list, config.Millis(settings.ListMillis))
+	next(&sched.nextFeed, feed, feedInterval)
+	sched.mu.Unlock()
+	if sched.needsTakeover() {
+		o.takeOver(ctx, sched)
 	}
 	if state {
-		o.pollState(ctx, b)
+		o.pollState(ctx, sched)
 	}
-	if list && !b.lists() && b.spec.Role != config.Service {
-		o.pollList(ctx, b)
+	if list && !sched.reportsIncludeList() && sched.spec.Role != config.Service {
+		o.pollList(ctx, sched)
 	}
 	if feed {
-		o.pollFeed(ctx, b)
+		o.pollFeed(ctx, sched)
 	}
-	b.mu.Lock()
-	b.polling = false
-	d := b.digest(time.Now(), o.board.Config.View().Doc.Policy.Mode.Reserves())
-	b.mu.Unlock()
+	sched.mu.Lock()
+	sched.polling = false
+	d := sched.digest(time.Now(), o.board.Config.View().Doc.Policy.Mode.Reserves())
+	sched.mu.Unlock()
 	o.board.Endpoints.Learn(d, time.Now())
 }
 
 const (
-	// pollPart is the part of the limit that an endpoint names that polls may come to.
-	pollPart = 0.1
-	// pollMost is the longest time between two polls: what is known of an endpoint is stale then.
-	pollMost = 3 * time.Second
+	// maxPollShare is the share of an endpoint's named limit that polls may use.
+	maxPollShare = 0.1
+	// maxPollInterval is the longest time between two polls: after it the endpoint's state is stale.
+	maxPollInterval = 3 * time.Second
 )
 
-// pollEach returns the time between two polls of an endpoint. One in need counts what it gets,
-// and whether it counts polls isn't known: they come to so little that the sum stays at its limit.
-func (o *Owner) pollEach(b *Book, usual time.Duration) time.Duration {
-	perSecond, limited, resting := 0.0, false, false
-	o.board.Endpoints.Find(b.number, func(_ *config.View, s *route.State) {
+// pollInterval returns the time between two polls of an endpoint. An endpoint that names a limit may
+// or may not count polls towards it, so polls are kept to a small share of the limit.
+func (o *Owner) pollInterval(sched *Scheduler, normal time.Duration) time.Duration {
+	perSecond, limited, backingOff := 0.0, false, false
+	o.board.Endpoints.Find(sched.number, func(_ *config.View, s *route.State) {
 		perSecond, limited = s.Limit.Limit(clock.Now())
-		resting = s.IsResting(time.Now())
+		backingOff = s.IsResting(time.Now())
 	})
-	if resting {
-		return max(usual, pollMost)
+	if backingOff {
+		return max(normal, maxPollInterval)
 	}
 	if !limited {
-		return usual
+		return normal
 	}
-	if perSecond*pollPart*pollMost.Seconds() <= 1 {
-		return max(usual, pollMost)
+	if perSecond*maxPollShare*maxPollInterval.Seconds() <= 1 {
+		return max(normal, maxPollInterval)
 	}
-	return max(usual, time.Duration(float64(time.Second)/(perSecond*pollPart)))
+	return max(normal, time.Duration(float64(time.Second)/(perSecond*maxPollShare)))
 }
 
-// feeds reports whether an endpoint's cache feed is followed all the time. What
-// decode endpoints keep is looked up when it is asked for.
-func (o *Owner) feeds(b *Book) bool { return b.queue != nil && !o.engine.Traits().DecodeKeeps }
+// followsFeed reports whether an endpoint's cache feed is read periodically. The caches of decode
+// endpoints are read on demand.
+func (o *Owner) followsFeed(sched *Scheduler) bool {
+	return sched.queue != nil && !o.engine.Traits().DecodeKeeps
+}
 
-// fresh reports whether nothing is known yet of what the endpoint holds.
-func (b *Book) fresh() bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.ledger != nil && !b.ready
+// needsTakeover reports whether the contents of the endpoint's memory are still unknown.
+func (s *Scheduler) needsTakeover() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.ledger != nil && !s.ready
 }
 
-// lists reports whether the endpoint's reports carry its list.
-func (b *Book) lists() bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.state.Lists
+// reportsIncludeList reports whether the endpoint's state reports include its list of requests.
+func (s *Scheduler) reportsIncludeList() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.state.Lists
 }
 
-func (o *Owner) pollState(ctx context.Context, b *Book) {
+func (o *Owner) pollState(ctx context.Context, sched *Scheduler) {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	st, err := o.engine.State(ctx, b.spec.Address)
+	st, err := o.engine.State(ctx, sched.spec.Address)
 	o.Polls.Add(1)
 	now := time.Now()
-	o.heard(b, st, err)
-	b.mu.Lock()
+	o.recordNotice(sched, st, err)
+	sched.mu.Lock()
 	if err != nil {
-		b.fails++
-		if b.fails == downAfter {
-			o.log.Warn("endpoint is down", zap.String("endpoint", b.spec.Name), zap.Error(err))
+		sched.failedPolls++
+		if sched.failedPolls == downAfter {
+			o.log.Warn("endpoint is down", zap.String("endpoint", sched.spec.Name), zap.Error(err))
 		}
-		b.mu.Unlock()
+		sched.mu.Unlock()
 		return
 	}
-	if b.late(st) {
-		b.mu.Unlock()
+	if sched.isStale(st) {
+		sched.mu.Unlock()
 		return
 	}
-	if b.fails >= downAfter {
-		o.log.Info("endpoint is back", zap.String("endpoint", b.spec.Name))
-		b.maybeCold = now.Add(config.Millis(b.spec.ColdStartMillis))
+	if sched.failedPolls >= downAfter {
+		o.log.Info("endpoint is back", zap.String("endpoint", sched.spec.Name))
+		sched.possiblyColdUntil = now.Add(config.Millis(sched.spec.ColdStartMillis))
 	}
 	if st.Incarnation == 0 {
-		st.Incarnation = b.state.Incarnation // it isn't told this time
+		st.Incarnation = sched.state.Incarnation // this report doesn't include it
 	}
-	restarted := b.state.Incarnation != 0 && st.Incarnation != b.state.Incarnation
+	restarted := sched.state.Incarnation != 0 && st.Incarnation != sched.state.Incarnation
 	if restarted {
-		o.log.Info("endpoint started again", zap.String("endpoint", b.spec.Name), zap.Uint64("incarnation", st.Incarnation))
-		b.restart(now)
-		b.nextState = now.Add(config.Millis(o.board.Settings.PollMillis))
+		o.log.Info("endpoint started again", zap.String("endpoint", sched.spec.Name), zap.Uint64("incarnation", st.Incarnation))
+		sched.restart(now)
+		sched.nextState = now.Add(config.Millis(o.board.Settings.PollMillis))
 	}
-	b.fails, b.state = 0, *st
+	sched.failedPolls, sched.state = 0, *st
 	if st.Lists {
-		o.takeList(b, now, st.Held)
-		b.ready, b.nextList = true, now.Add(config.Millis(o.board.Settings.PollMillis))
+		o.applyList(sched, now, st.Held)
+		sched.ready, sched.nextList = true, now.Add(config.Millis(o.board.Settings.PollMillis))
 	}
 	if restarted && !st.Lists {
-		b.nextList = now
+		sched.nextList = now
 	}
-	b.mu.Unlock()
-	o.correct(ctx, b, st)
+	sched.mu.Unlock()
+	o.correctState(ctx, sched, st)
 }
 
-// heard takes in what a report's head says of the endpoint. Where it names no limit that says
-// nothing: reports needn't name it.
-func (o *Owner) heard(b *Book, st *endpoint.State, err error) {
+// recordNotice records the notices in the header of a state report. A report without a limit changes
+// nothing, as reports need not repeat it.
+func (o *Owner) recordNotice(sched *Scheduler, st *endpoint.State, err error) {
 	if err != nil {
 		return
 	}
-	b.mu.Lock()
-	spec := b.spec
-	b.mu.Unlock()
-	o.board.Endpoints.Notice(b.number, route.Notice{Leaving: st.Notice.Leaving, Born: spec.Born, Heard: time.Now()})
+	sched.mu.Lock()
+	spec := sched.spec
+	sched.mu.Unlock()
+	o.board.Endpoints.Notice(sched.number, route.Notice{Leaving: st.Notice.Leaving, Born: spec.Born, Heard: time.Now()})
 	if !st.Notice.Limit.Named || o.peers == nil {
 		return
 	}
 	o.peers.Heard(spec, pace.Word{Named: true, PerSecond: st.Notice.Limit.PerSecond, At: clock.Now(), Born: spec.Born})
 }
 
-func (o *Owner) pollList(ctx context.Context, b *Book) {
+func (o *Owner) pollList(ctx context.Context, sched *Scheduler) {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	list, err := o.engine.Requests(ctx, b.spec.Address)
+	list, err := o.engine.Requests(ctx, sched.spec.Address)
 	o.Polls.Add(1)
 	if err != nil {
 		return
 	}
 	now := time.Now()
-	b.mu.Lock()
-	o.takeList(b, now, list)
-	b.ready = true
-	check := b.suspects(now, list)
-	b.mu.Unlock()
-	o.reap(ctx, b, now, check)
+	sched.mu.Lock()
+	o.applyList(sched, now, list)
+	sched.ready = true
+	check := sched.unclaimed(now, list)
+	sched.mu.Unlock()
+	o.reap(ctx, sched, now, check)
 }
 
-// takeList takes in the endpoint's own list; the caller holds the lock.
-func (o *Owner) takeList(b *Book, now time.Time, list []endpoint.Running) {
+// applyList applies the endpoint's own list of requests. The caller holds the lock.
+func (o *Owner) applyList(sched *Scheduler, now time.Time, list []endpoint.Running) {
 	held := make(map[request.Attempt]endpoint.Running, len(list))
 	for _, r := range list {
 		a, err := request.ParseAttempt(r.ID)
 		if err != nil {
-			a = ledger.Foreign(r.ID) // not ours, but it holds memory
+			a = ledger.Foreign(r.ID) // not an attempt of this fleet, but it holds memory
 		}
 		held[a] = r
 	}
-	if b.ledger != nil {
-		b.ledger.Listed(now, held)
+	if sched.ledger != nil {
+		sched.ledger.Listed(now, held)
 	}
-	if b.queue != nil {
-		b.queue.Forget(now)
+	if sched.queue != nil {
+		sched.queue.Forget(now)
 	}
 }
 
-// feedPages bounds how many stretches of a cache feed are read at once. A feed
-// tells some hundred events a second of an engine under load, and a stretch has
-// some hundred.
-const feedPages = 12
+// maxFeedPages bounds the number of pages of a cache feed that are read in one poll. Under load a
+// feed has some hundred events a second, and a page holds some hundred.
+const maxFeedPages = 12
 
-// pollFeed reads what an endpoint's cache feed tells since it was last read.
-func (o *Owner) pollFeed(ctx context.Context, b *Book) {
+// pollFeed reads the new events of an endpoint's cache feed.
+func (o *Owner) pollFeed(ctx context.Context, sched *Scheduler) {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	for range feedPages {
-		b.mu.Lock()
-		after, epoch := b.feed, b.epoch
-		b.mu.Unlock()
-		e, err := o.engine.CacheEvents(ctx, b.spec.Address, after)
+	for range maxFeedPages {
+		sched.mu.Lock()
+		after, epoch := sched.feedNext, sched.feedEpoch
+		sched.mu.Unlock()
+		e, err := o.engine.CacheEvents(ctx, sched.spec.Address, after)
 		o.Polls.Add(1)
 		if err != nil {
-			o.log.Debug("cache feed not read", zap.String("endpoint", b.spec.Name), zap.Error(err))
+			o.log.Debug("cache feed poll failed", zap.String("endpoint", sched.spec.Name), zap.Error(err))
 			return
 		}
-		b.mu.Lock()
-		b.learnHeads(e)
-		b.fed = time.Now()
+		sched.mu.Lock()
+		sched.learnHeads(e)
+		sched.feedReadAt = time.Now()
 		caughtUp := e.Next <= after && e.Epoch == epoch
-		b.mu.Unlock()
+		sched.mu.Unlock()
 		if caughtUp || e.Epoch == 0 {
 			return
 		}
--- a/owner/poll_test.go
+++ b/owner/poll_test.go
@@ -8,8 +8,8 @@
 	"github.com/embercove/embercove/config"
 )
 
-// TestPolled states whether an endpoint is asked for its report, by who owns it and
-// when its book was last asked for.
+// TestPolled checks that owned endpoints are always polled, and endpoints of other hosts only
+// while they are in use here.
 func TestPolled(t *testing.T) {
 	number := config.NameNumber("e")
 	cases := []struct {
@@ -19,9 +19,9 @@
 		want  bool
 	}{
 		{"owned", true, 0, true},
-		{"owned, and nobody asks", true, time.Hour, true},
-		{"another's, and somebody asks", false, 0, true},
-		{"another's, and nobody asks any more", false, 2 * standInFor, false},
+		{"owned, unused", true, time.Hour, true},
+		{"not owned, in use", false, 0, true},
+		{"not owned, no longer used", false, 2 * pollNotOwnedFor, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -35,9 +35,9 @@
 			if o.owned[number] != tc.owned {
 				t.Fatalf("owned %v", o.owned[number])
 			}
-			b := newBook(v, v.Endpoint("e"), 1, now)
-			b.used = now.Add(-tc.idle)
-			o.books[number] = b
+			sched := newScheduler(v, v.Endpoint("e"), 1, now)
+			sched.lastUsed = now.Add(-tc.idle)
+			o.schedulers[number] = sched
 			var work func(context.Context)
 			work, _ = o.Poller().Next(now)
 			if (work != nil) != tc.want {
--- a/owner/reap.go
+++ b/owner/reap.go
@@ -11,13 +11,13 @@
 	"github.com/embercove/embercove/request"
 )
 
-// claimEvery is how often a holder confirms an attempt in an endpoint's list, before it
-// counts as orphaned.
-const claimEvery = 5 * time.Second
+// claimValidFor is how long a holder's claim to an attempt in an endpoint's list is valid, before
+// the holder is asked again.
+const claimValidFor = 5 * time.Second
 
-// suspects returns the attempts of the list that should be looked into; the
-// caller holds the lock.
-func (b *Book) suspects(now time.Time, list []endpoint.Running) []request.Attempt {
+// unclaimed returns the attempts of the list that nobody has claimed lately. The caller holds
+// the lock.
+func (s *Scheduler) unclaimed(now time.Time, list []endpoint.Running) []request.Attempt {
 	var out []request.Attempt
 	there := make(map[request.Attempt]bool, len(list))
 	for _, r := range list {
@@ -26,69 +26,69 @@
 			continue
 		}
 		there[a] = true
-		if now.Sub(b.confirmed[a]) > claimEvery {
+		if now.Sub(s.claimedAt[a]) > claimValidFor {
 			out = append(out, a)
 		}
 	}
-	for a := range b.confirmed {
+	for a := range s.claimedAt {
 		if !there[a] {
-			delete(b.confirmed, a)
+			delete(s.claimedAt, a)
 		}
 	}
-	for a := range b.gone {
+	for a := range s.holderGoneSince {
 		if !there[a] {
-			delete(b.gone, a)
+			delete(s.holderGoneSince, a)
 		}
 	}
 	return out
 }
 
-// reap frees what is held for no one: attempts of a process that is gone,
-// after a short grace, and attempts that their living holder doesn't know.
-func (o *Owner) reap(ctx context.Context, b *Book, now time.Time, check []request.Attempt) {
+// reap cancels orphaned attempts: those of a process that is gone, after a short grace
+// period, and those that their live holder doesn't know.
+func (o *Owner) reap(ctx context.Context, sched *Scheduler, now time.Time, check []request.Attempt) {
 	if o.board.Pause.Check() {
 		return
 	}
-	ask := map[uint32][]request.Attempt{}
+	byHolder := map[uint32][]request.Attempt{}
 	for _, a := range check {
-		switch o.holder(b, a, now) {
+		switch o.checkHolder(sched, a, now) {
 		case holderReplaced:
-			o.cancel(ctx, b, a)
+			o.cancel(ctx, sched, a)
 		case holderGone, holderLive:
-			ask[a.ID.Host] = append(ask[a.ID.Host], a)
+			byHolder[a.ID.Host] = append(byHolder[a.ID.Host], a)
 		}
 	}
-	for host, attempts := range ask {
-		o.claim(ctx, b, host, attempts, now)
+	for host, attempts := range byHolder {
+		o.claim(ctx, sched, host, attempts, now)
 	}
 }
 
 type holderState int
 
 const (
-	holderUnsure holderState = iota // wait
+	holderUnsure holderState = iota // decide at a later poll
 	holderLive
-	holderGone     // nothing heard for the grace; it is asked once more
-	holderReplaced // its host runs another process
+	holderGone     // silent for the grace period; it is asked once more
+	holderReplaced // its host runs a newer process
 )
 
-// holder judges whether the process that sent an attempt is still there.
-func (o *Owner) holder(b *Book, a request.Attempt, now time.Time) holderState {
+// checkHolder returns whether the process that sent an attempt still runs.
+func (o *Owner) checkHolder(sched *Scheduler, a request.Attempt, now time.Time) holderState {
 	h, live, known := o.board.Hosts.Get(a.ID.Host, now)
-	b.mu.Lock()
-	defer b.mu.Unlock()
+	sched.mu.Lock()
+	defer sched.mu.Unlock()
 	switch {
 	case known && h.Incarnation > a.ID.Incarnation:
 		return holderReplaced
 	case known && live && h.Incarnation == a.ID.Incarnation:
-		delete(b.gone, a)
+		delete(sched.holderGoneSince, a)
 		return holderLive
 	case known && live:
-		return holderUnsure // restarted, and its heartbeat has not come yet
+		return holderUnsure // restarted, and its new heartbeat has not arrived yet
 	}
-	since, ok := b.gone[a]
+	since, ok := sched.holderGoneSince[a]
 	if !ok {
-		b.gone[a] = now
+		sched.holderGoneSince[a] = now
 		return holderUnsure
 	}
 	if now.Sub(since) < config.Millis(o.board.Settings.GraceMillis) {
@@ -97,11 +97,11 @@
 	return holderGone
 }
 
-// claim asks a holder which of the attempts it knows, and cancels the others:
-// holders record attempts before they send them. A holder that counts as gone
-// and doesn't answer either knows none; that it counts as gone may be an error
-// of others, so it is asked.
-func (o *Owner) claim(ctx context.Context, b *Book, host uint32, attempts []request.Attempt, now time.Time) {
+// claim asks a holder which of the attempts it still has open and cancels the others. Holders
+// record attempts before they send them, so an unknown one is orphaned. A holder that counts as
+// gone is asked too, because other hosts may have suspected it wrongly. If it doesn't answer, all
+// its attempts are cancelled.
+func (o *Owner) claim(ctx context.Context, sched *Scheduler, host uint32, attempts []request.Attempt, now time.Time) {
 	held := make([]bool, len(attempts))
 	h, live, known := o.board.Hosts.Get(host, now)
 	switch {
@@ -121,23 +121,23 @@
 	}
 	for i, a := range attempts {
 		if !held[i] {
-			o.cancel(ctx, b, a)
+			o.cancel(ctx, sched, a)
 			continue
 		}
-		b.mu.Lock()
-		b.confirmed[a] = now
-		b.mu.Unlock()
+		sched.mu.Lock()
+		sched.claimedAt[a] = now
+		sched.mu.Unlock()
 	}
 }
 
-// cancel gives an orphaned attempt up at its endpoint.
-func (o *Owner) cancel(ctx context.Context, b *Book, a request.Attempt) {
+// cancel aborts an orphaned attempt at its endpoint.
+func (o *Owner) cancel(ctx context.Context, sched *Scheduler, a request.Attempt) {
 	ctx, stop := context.WithTimeout(ctx, pollTimeout)
 	defer stop()
-	if err := o.engine.Abort(ctx, b.spec.Address, a.String()); err != nil {
+	if err := o.engine.Abort(ctx, sched.spec.Address, a.String()); err != nil {
 		return
 	}
 	o.Reaped.Add(1)
-	o.log.Info("orphaned attempt cancelled", zap.String("endpoint", b.spec.Name), zap.Stringer("attempt", a))
-	o.Release([]Release{{Attempt: a, Endpoint: b.number, Outcome: GivenUp}})
+	o.log.Info("orphaned attempt cancelled", zap.String("endpoint", sched.spec.Name), zap.Stringer("attempt", a))
+	o.Release([]Release{{Attempt: a, Endpoint: sched.number, Outcome: GivenUp}})
 }
--- a/owner/serve.go
+++ b/owner/serve.go
@@ -8,80 +8,79 @@
 	"github.com/embercove/embercove/result"
 )
 
-// Reserve answers a ReserveArgs from this or another host.
+// Reserve handles a ReserveArgs from this or another host.
 func (o *Owner) Reserve(ctx context.Context, a ReserveArgs) (ReserveReply, error) {
 	o.board.Pause.Check()
-	b, err := o.book(ctx, a.Endpoint)
+	sched, err := o.scheduler(ctx, a.Endpoint)
 	if err != nil {
 		return ReserveReply{}, err
 	}
 	now := time.Now()
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.ledger == nil {
-		return ReserveReply{}, result.Errorf(result.NoEndpoint, "%s is no decode endpoint", b.spec.Name)
+	sched.mu.Lock()
+	defer sched.mu.Unlock()
+	if sched.ledger == nil {
+		return ReserveReply{}, result.Errorf(result.NoEndpoint, "endpoint %s is not a decode endpoint", sched.spec.Name)
 	}
-	at, refusal := time.Time{}, o.refuseEmptied(b)
+	at, refusal := time.Time{}, o.refuseEvacuated(sched)
 	if refusal == nil {
-		at, refusal = b.reserve(now, a)
+		at, refusal = sched.reserve(now, a)
 	}
-	reply := ReserveReply{Code: result.OK, Digest: b.brief(now)}
+	reply := ReserveReply{Code: result.OK, Digest: sched.brief(now)}
 	if refusal != nil {
 		reply.Code, reply.Retry = refusal.Code, millis(refusal.RetryAfter)
 		return reply, nil
 	}
 	reply.InMillis = max(0, millis(at.Sub(now)))
-	if a.Spare == 0 { // nothing is sent for a copy
-		o.Starts.Note(b.spec)
+	if a.Spare == 0 { // no request is sent for a replica
+		o.Starts.Note(sched.spec)
 	}
 	return reply, nil
 }
 
-// Enqueue answers an EnqueueArgs: it returns when the engine is free for the
-// request, or as soon as it is clear that it won't be in time.
+// Enqueue handles an EnqueueArgs from this or another host. It returns when the engine is free
+// for the request, or as soon as it is clear that it won't be in time.
 func (o *Owner) Enqueue(ctx context.Context, a EnqueueArgs) (EnqueueReply, error) {
 	o.board.Pause.Check()
-	b, err := o.book(ctx, a.Endpoint)
+	sched, err := o.scheduler(ctx, a.Endpoint)
 	if err != nil {
 		return EnqueueReply{}, err
 	}
-	it, reply := o.admit(b, a)
+	it, reply := o.admit(sched, a)
 	if it == nil {
 		return reply, nil
 	}
-	refusal := o.await(ctx, b, it)
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	reply = EnqueueReply{Code: result.OK, Digest: b.brief(time.Now())}
+	refusal := o.await(ctx, sched, it)
+	sched.mu.Lock()
+	defer sched.mu.Unlock()
+	reply = EnqueueReply{Code: result.OK, Digest: sched.brief(time.Now())}
 	if refusal != nil {
 		reply.Code, reply.Retry = refusal.Code, millis(refusal.RetryAfter)
 		return reply, nil
 	}
-	o.Starts.Note(b.spec)
+	o.Starts.Note(sched.spec)
 	return reply, nil
 }
 
-// admit puts a request into the queue; a nil item means that the reply is
-// final.
-func (o *Owner) admit(b *Book, a EnqueueArgs) (*queue.Item, EnqueueReply) {
+// admit adds a request to the queue. If it returns a nil item, the reply is final.
+func (o *Owner) admit(sched *Scheduler, a EnqueueArgs) (*queue.Item, EnqueueReply) {
 	now := time.Now()
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if refusal := o.refuseEmptied(b); refusal != nil {
-		return nil, EnqueueReply{Code: refusal.Code, Retry: millis(refusal.RetryAfter), Digest: b.brief(now)}
+	sched.mu.Lock()
+	defer sched.mu.Unlock()
+	if refusal := o.refuseEvacuated(sched); refusal != nil {
+		return nil, EnqueueReply{Code: refusal.Code, Retry: millis(refusal.RetryAfter), Digest: sched.brief(now)}
 	}
-	it, refusal := b.admit(now, a)
+	it, refusal := sched.admit(now, a)
 	if refusal != nil {
-		return nil, EnqueueReply{Code: refusal.Code, Retry: millis(refusal.RetryAfter), Digest: b.brief(now)}
+		return nil, EnqueueReply{Code: refusal.Code, Retry: millis(refusal.RetryAfter), Digest: sched.brief(now)}
 	}
 	return it, EnqueueReply{}
 }
 
-// await runs the queue until the item is called or refused. Each waiting
-// request turns the queue itself, so that no busy worker can hold it up.
-func (o *Owner) await(ctx context.Context, b *Book, it *queue.Item) *result.Error {
+// await runs the queue until the item is admitted to the engine or refused. Each waiting request
+// runs the queue itself, so that no busy worker can delay it.
+func (o *Owner) await(ctx context.Context, sched *Scheduler, it *queue.Item) *result.Error {
 	for {
-		due := b.turn(time.Now())
+		due := sched.runQueue(time.Now())
 		var tick <-chan time.Time
 		if !due.IsZero() {
 			tick = time.After(max(time.Until(due), time.Millisecond))
@@ -91,45 +90,45 @@
 			return refusal
 		case <-tick:
 		case <-ctx.Done():
-			b.mu.Lock()
-			b.queue.Take(it)
-			b.mu.Unlock()
-			return result.Errorf(result.CallerGone, "left the queue")
+			sched.mu.Lock()
+			sched.queue.Take(it)
+			sched.mu.Unlock()
+			return result.Errorf(result.CallerGone, "the caller left while the request was queued")
 		}
 	}
 }
 
-// turn calls the requests that are due and refuses those that came too late.
-func (b *Book) turn(now time.Time) (due time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	send, late := b.queue.Next(now)
+// runQueue admits the requests that are due to the engine and refuses those that are too late.
+func (s *Scheduler) runQueue(now time.Time) (due time.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	send, late := s.queue.Next(now)
 	for _, it := range send {
 		it.Answer <- nil
 	}
 	for _, it := range late {
-		it.Answer <- result.Errorf(result.TooLate, "the engine fell behind").After(b.queue.Backlog(now) + queue.Lookahead)
+		it.Answer <- result.Errorf(result.TooLate, "the engine fell behind").After(s.queue.Backlog(now) + queue.Lookahead)
 	}
-	return b.queue.Due(now)
+	return s.queue.Due(now)
 }
 
-// Release ends what attempts hold.
+// Release frees what attempts hold.
 func (o *Owner) Release(rs []Release) {
 	now := time.Now()
 	for _, r := range rs {
 		o.mu.Lock()
-		b := o.books[r.Endpoint]
+		sched := o.schedulers[r.Endpoint]
 		o.mu.Unlock()
-		if b == nil {
+		if sched == nil {
 			continue
 		}
-		b.mu.Lock()
-		if it := b.release(now, r); it != nil {
-			it.Answer <- result.Errorf(result.CallerGone, "given up while it waited")
+		sched.mu.Lock()
+		if it := sched.release(now, r); it != nil {
+			it.Answer <- result.Errorf(result.CallerGone, "abandoned while it was queued")
 		}
-		b.mu.Unlock()
-		if b.queue != nil {
-			b.turn(now)
+		sched.mu.Unlock()
+		if sched.queue != nil {
+			sched.runQueue(now)
 		}
 	}
 }
--- a/owner/starts.go
+++ b/owner/starts.go
@@ -16,42 +16,43 @@
 	"github.com/embercove/embercove/route"
 )
 
-// An endpoint that is cold, or names a limit, is sent few requests a second, by all hosts
-// together. Its owner gives out the starts: who calls it asks just before each call, of any
-// kind. Unlike a book's room, what an owner gives out must hold while two hosts take themselves
-// for the owner, so it gives out the part of the bound for which it has votes (package pace).
+// An endpoint that is cold, or names a limit, may be sent only few requests a second by all hosts
+// together. Its owner hands out start permits, and a host acquires one just before each call of
+// any kind. Unlike a scheduler's capacity, the bound on permits must hold even while two hosts
+// consider themselves the owner. An owner therefore hands out only the share of the bound for
+// which it has votes (package pace).
 
-// StartArgs asks for a start at an endpoint.
+// StartArgs requests a start permit at an endpoint.
 type StartArgs struct {
 	Endpoint uint32
 	Wait     int  // ms that the call may wait for it
-	Warm     bool // the asker takes the endpoint for warm: only its limit is asked for
+	Warm     bool // the requester considers the endpoint warm, so only its limit applies
 	Asker    pace.Asker
-	Limit    pace.Told // what the asker knows of the endpoint's limit
+	Limit    pace.Told // the endpoint's limit as known to the requester
 }
 
-// StartReply gives a start out for a moment to come, or says when there is one.
+// StartReply grants a permit for a call in InMillis, or says when to ask again.
 type StartReply struct {
 	Given      bool
-	InMillis   int       // until the start, or where none is given until one may be asked for
-	BackMillis int       // until the caller may come back, where none is given
-	Limit      pace.Told // what the owner knows of the endpoint's limit
+	InMillis   int       // until the call may start; without a permit, until the next request for one
+	BackMillis int       // without a permit: until the caller may retry
+	Limit      pace.Told // the endpoint's limit as known to the owner
 }
 
-// VoteArgs asks a host for its votes.
+// VoteArgs requests a host's votes.
 type VoteArgs struct {
 	Host        uint32
 	Incarnation uint64
 	Endpoints   []uint32
 }
 
-// VoteReply answers in the same order.
+// VoteReply holds the votes, in the order of VoteArgs.Endpoints.
 type VoteReply struct {
 	Given []bool
-	Of    []int // hosts that may vote, by what the host knows
+	Of    []int // number of hosts that may vote, as far as the voter knows
 }
 
-// Starts gives out the starts at the endpoints that this host owns and that need them.
+// Starts hands out start permits for the endpoints that this host owns and that need them.
 type Starts struct {
 	Given, Refused, Alone atomic.Uint64
 
@@ -59,51 +60,52 @@
 	peers func() Peers
 	log   *zap.Logger
 
-	mu    sync.Mutex
-	paces map[uint32]*starts
-	lones map[uint32]*lone
-	votes *pace.Votes
+	mu       sync.Mutex
+	permits  map[uint32]*endpointPermits
+	isolated map[uint32]*isolatedPace
+	votes    *pace.Votes
 }
 
-// starts is what a host has given out at an endpoint. Moments are by package clock.
-type starts struct {
+// endpointPermits tracks the permits that a host has handed out at one endpoint. Times are by package
+// clock.
+type endpointPermits struct {
 	pace.Pace
 	pace.Order
-	right   pace.Right
-	asked   time.Time // last, for a start
-	used    time.Time
-	given   uint64
-	refused uint64
-	alone   int       // rounds of votes since it last had any
-	soon    time.Time // until when the first round may bring votes
-	cold    bool      // when it was last looked at
+	quorum             pace.Right
+	lastAsked          time.Time // last request for a permit
+	lastUsed           time.Time
+	given              uint64
+	refused            uint64
+	roundsWithoutVotes int       // voting rounds since this host last had any votes
+	firstRoundUntil    time.Time // end of the time in which the first round may bring votes
+	cold               bool      // as of the last check
 }
 
 func newStarts(b *blackboard.Board, peers func() Peers, log *zap.Logger) *Starts {
-	s := &Starts{board: b, peers: peers, log: log, paces: map[uint32]*starts{}, lones: map[uint32]*lone{}, votes: pace.NewVotes(clock.Now())}
+	s := &Starts{board: b, peers: peers, log: log, permits: map[uint32]*endpointPermits{}, isolated: map[uint32]*isolatedPace{}, votes: pace.NewVotes(clock.Now())}
 	b.Pause.OnWake(s.Wake)
 	return s
 }
 
-// Wake drops what was known before a pause: others have given out starts meanwhile.
+// Wake drops the state from before a pause: other hosts may have handed out permits since.
 func (s *Starts) Wake(time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.votes, s.paces = pace.NewVotes(clock.Now()), map[uint32]*starts{}
+	s.votes, s.permits = pace.NewVotes(clock.Now()), map[uint32]*endpointPermits{}
 }
 
-// pace returns what was given out at an endpoint; the caller holds the lock.
-func (s *Starts) pace(number uint32, now time.Time) *starts {
-	p := s.paces[number]
+// permitsAt returns the permits handed out at an endpoint. The caller holds the lock.
+func (s *Starts) permitsAt(number uint32, now time.Time) *endpointPermits {
+	p := s.permits[number]
 	if p == nil {
-		p = new(starts)
-		s.paces[number] = p
+		p = new(endpointPermits)
+		s.permits[number] = p
 	}
-	p.used = now
+	p.lastUsed = now
 	return p
 }
 
-// spec returns an endpoint under the revision in force.
+// spec returns an endpoint of the revision in force.
 func (s *Starts) spec(number uint32) (*config.View, *config.Endpoint, error) {
 	v := s.board.Config.View()
 	if v == nil {
@@ -116,19 +118,19 @@
 	return v, spec, nil
 }
 
-// coldTerms returns the terms for a part of what all hosts together may send a cold endpoint.
-func (s *Starts) coldTerms(spec *config.Endpoint, part float64) pace.Terms {
-	return pace.ColdTerms(part * pace.ColdBound(spec.ColdPerSecond, s.board.Settings.ColdOverrun, s.board.Settings.ColdTolerance))
+// coldTerms returns the terms for a share of what all hosts together may send a cold endpoint.
+func (s *Starts) coldTerms(spec *config.Endpoint, share float64) pace.Terms {
+	return pace.ColdTerms(share * pace.ColdBound(spec.ColdPerSecond, s.board.Settings.ColdOverrun, s.board.Settings.ColdTolerance))
 }
 
-// bounds are what bounds the starts at an endpoint now.
+// bounds says which bounds apply to the permits at an endpoint.
 type bounds struct {
 	cold, limited bool
-	perSecond     float64 // that the endpoint names
+	perSecond     float64 // the limit named by the endpoint
 }
 
-// bounds returns what bounds the starts at an endpoint. The caller doesn't hold the lock: the
-// table of endpoints is locked before it.
+// bounds returns the bounds that apply at an endpoint. The caller must not hold the lock, because
+// the endpoint table is locked here and comes first in the lock order.
 func (s *Starts) bounds(spec *config.Endpoint, warm bool, now time.Time) (b bounds) {
 	s.board.Endpoints.Find(route.Number(spec.Name), func(_ *config.View, st *route.State) {
 		b.perSecond, b.limited = st.Limit.Limit(now)
@@ -138,18 +140,18 @@
 	return b
 }
 
-// terms returns the terms for a part of what all hosts together may send an endpoint.
-func (s *Starts) terms(spec *config.Endpoint, b bounds, part float64) pace.Terms {
+// terms returns the terms for a share of what all hosts together may send an endpoint.
+func (s *Starts) terms(spec *config.Endpoint, b bounds, share float64) pace.Terms {
 	switch {
 	case b.cold && b.limited:
-		return s.coldTerms(spec, part).Tighter(pace.LimitTerms(b.perSecond, part))
+		return s.coldTerms(spec, share).Tighter(pace.LimitTerms(b.perSecond, share))
 	case b.cold:
-		return s.coldTerms(spec, part)
+		return s.coldTerms(spec, share)
 	}
-	return pace.LimitTerms(b.perSecond, part)
+	return pace.LimitTerms(b.perSecond, share)
 }
 
-// Ask answers a StartArgs from this or another host.
+// Ask handles a StartArgs from this or another host.
 func (s *Starts) Ask(a StartArgs) (StartReply, error) {
 	s.board.Pause.Check()
 	v, spec, err := s.spec(a.Endpoint)
@@ -163,28 +165,28 @@
 	b := s.bounds(spec, a.Warm, now)
 	reply := StartReply{Given: true}
 	if b.cold || b.limited {
-		reply = s.give(v, spec, a, b, now)
+		reply = s.grant(v, spec, a, b, now)
 	}
 	s.board.Endpoints.Find(a.Endpoint, func(_ *config.View, st *route.State) { reply.Limit = st.Limit.Word().Tell(now) })
 	return reply, nil
 }
 
-// give gives out a start, or says when there is one.
-func (s *Starts) give(v *config.View, spec *config.Endpoint, a StartArgs, b bounds, now time.Time) StartReply {
+// grant hands out a permit, or says when to ask again.
+func (s *Starts) grant(v *config.View, spec *config.Endpoint, a StartArgs, b bounds, now time.Time) StartReply {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	p := s.pace(a.Endpoint, now)
-	p.asked = now
-	part := p.right.Part(now)
-	t := s.terms(spec, b, part)
-	if part == 0 && s.first(v, p, spec, now) {
-		return StartReply{InMillis: millis(firstRound), BackMillis: millis(firstRound)}
+	p := s.permitsAt(a.Endpoint, now)
+	p.lastAsked = now
+	share := p.quorum.Part(now)
+	t := s.terms(spec, b, share)
+	if share == 0 && s.requestFirstVotes(v, p, spec, now) {
+		return StartReply{InMillis: millis(firstRoundDelay), BackMillis: millis(firstRoundDelay)}
 	}
 	in, given := p.Ask(now, t, p.Ahead(now, a.Asker, duration(a.Wait)))
 	if !given {
 		s.Refused.Add(1)
 		p.refused++
-		return StartReply{InMillis: millis(min(in, mostRetry)), BackMillis: millis(p.Promise(now, t))}
+		return StartReply{InMillis: millis(min(in, maxRetryDelay)), BackMillis: millis(p.Promise(now, t))}
 	}
 	s.Given.Add(1)
 	p.given++
@@ -192,37 +194,37 @@
 	return StartReply{Given: true, InMillis: millis(in)}
 }
 
-// first asks for votes at once for an endpoint that nobody was asked for lately, and reports
-// whether they may come soon; the caller holds the lock. Without it the first calls to an
-// endpoint that has turned cold wait for the next round, and prompts were read in vain. Calls
-// that come before the first answers are told the same: those told that there is none leave
-// the endpoint alone for what is left of mostRetry.
-func (s *Starts) first(v *config.View, p *starts, spec *config.Endpoint, now time.Time) bool {
+// requestFirstVotes requests votes at once for an endpoint for which none were requested lately, and reports
+// whether votes may arrive soon. The caller holds the lock. Without it the first calls to an
+// endpoint that has turned cold waited for the next round, and prefills were wasted. Calls that
+// arrive before the first votes get the same answer, because a call that is told that there is
+// no permit avoids the endpoint for the rest of maxRetryDelay.
+func (s *Starts) requestFirstVotes(v *config.View, p *endpointPermits, spec *config.Endpoint, now time.Time) bool {
 	if !s.owns(v, spec, time.Now()) {
 		return false
 	}
-	if p.alone == 0 && !now.Before(p.soon) {
-		p.soon = now.Add(startsTick)
-		go s.round(context.Background(), spec.Domain, v.Region[spec.Domain], []*config.Endpoint{spec})
+	if p.roundsWithoutVotes == 0 && !now.Before(p.firstRoundUntil) {
+		p.firstRoundUntil = now.Add(voteInterval)
+		go s.requestVotes(context.Background(), spec.Domain, v.Region[spec.Domain], []*config.Endpoint{spec})
 	}
-	return now.Before(p.soon)
+	return now.Before(p.firstRoundUntil)
 }
 
-// owns reports whether this host owns an endpoint by its own view.
+// owns reports whether this host owns an endpoint according to its own view.
 func (s *Starts) owns(v *config.View, spec *config.Endpoint, now time.Time) bool {
 	h, ok := Of(s.board, v, spec, now)
 	return ok && h.Number == s.board.Number
 }
 
-// firstRound is when to ask again for a start while the first votes are asked for: what a
-// call to another host takes, and some more.
-const firstRound = 30 * time.Millisecond
+// firstRoundDelay is the delay before asking again while the first votes are requested. It exceeds
+// the time of a call to another host.
+const firstRoundDelay = 30 * time.Millisecond
 
-// mostRetry is the longest time to come back for a start: by then this host may have votes,
-// or another one.
-const mostRetry = time.Second
+// maxRetryDelay is the longest delay before asking for a permit again. By then this host, or
+// another one, may have votes.
+const maxRetryDelay = time.Second
 
-// Note takes in that a request is about to go to an endpoint that may turn cold.
+// Note records that a request is about to be sent to an endpoint that may turn cold.
 func (s *Starts) Note(spec *config.Endpoint) {
 	if spec.ColdPerSecond <= 0 || time.Now().Before(spec.ColdUntil) {
 		return
@@ -230,18 +232,18 @@
 	now := clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if p := s.pace(route.Number(spec.Name), now); now.Sub(p.asked) > askedLately { // else a start was asked for
+	if p := s.permitsAt(route.Number(spec.Name), now); now.Sub(p.lastAsked) > requestWindow { // otherwise a permit was acquired for it
 		p.Note(now, s.coldTerms(spec, 1))
 	}
 }
 
-// Vote answers a VoteArgs from this or another host.
+// Vote handles a VoteArgs from this or another host.
 func (s *Starts) Vote(a VoteArgs) (reply VoteReply) {
 	s.board.Pause.Check()
 	now := clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	voters := map[string]int{} // by failure domain; mostly one
+	voters := map[string]int{} // by failure domain; usually only one
 	for _, n := range a.Endpoints {
 		given, of := false, 0
 		if v, spec, err := s.spec(n); err == nil {
@@ -257,12 +259,12 @@
 	return reply
 }
 
-// Count returns how many starts this host has given out at an endpoint, and how many asks it
-// has refused, since it last had nothing to do with it.
+// Count returns how many permits this host has granted and refused at an endpoint, since it began
+// to track the endpoint.
 func (s *Starts) Count(number uint32) (given, refused uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if p := s.paces[number]; p != nil {
+	if p := s.permits[number]; p != nil {
 		return p.given, p.refused
 	}
 	return 0, 0
--- a/owner/starts_test.go
+++ b/owner/starts_test.go
@@ -19,10 +19,10 @@
 	"github.com/embercove/embercove/route"
 )
 
-// coldOwner returns the owner of a host that is alone and has a cold endpoint.
+// coldOwner returns the owner of a host that knows no other hosts and has one cold endpoint.
 func coldOwner(t testing.TB) *Owner {
 	t.Helper()
-	s := &config.Settings{Host: "h1", Domain: "d", Region: "r", Peers: "127.0.0.1:1", PauseMillis: 600_000} // nothing moves its mark here
+	s := &config.Settings{Host: "h1", Domain: "d", Region: "r", Peers: "127.0.0.1:1", PauseMillis: 600_000} // no ticker runs here, so no gap may count as a pause
 	s.SetDefaults()
 	b := blackboard.New(s)
 	if _, err := b.Config.Offer(1, []byte(poolDocument)); err != nil {
@@ -38,8 +38,9 @@
 	return o
 }
 
-// TestStartsWake checks that a host that is the only one gives out starts once it has run
-// for long enough to have no vote out, and none after a pause, until it has again.
+// TestStartsWake checks that a host without others hands out no permits right after its start or
+// after a pause, because votes that it gave before may still bind. It does so again once they
+// have expired.
 func TestStartsWake(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := coldOwner(t)
@@ -53,28 +54,29 @@
 			return reply.Given
 		}
 		if given() {
-			t.Error("a start was given out by a process that has just begun")
+			t.Error("a permit was granted by a process that has just started")
 		}
 		time.Sleep(pace.BindingCold)
 		if !given() {
-			t.Error("no start is given out by the only host")
+			t.Error("no permit was granted by the only host")
 		}
 		o.Starts.Wake(time.Now())
 		if given() {
-			t.Error("a start was given out after a pause")
+			t.Error("a permit was granted right after a pause")
 		}
 		time.Sleep(pace.BindingCold)
 		if !given() {
-			t.Error("no start is given out long after a pause")
+			t.Error("no permit was granted long after a pause")
 		}
 		if n, _ := o.Starts.Count(number); n != 1 {
-			t.Errorf("%d starts counted since the pause, want 1", n)
+			t.Errorf("%d permits counted since the pause, want 1", n)
 		}
 	})
 }
 
-// TestFirstAsks has several calls ask for starts at an endpoint that has just turned cold,
-// while the first votes for it are asked for: all are told to ask again at once.
+// TestFirstAsks requests several permits at an endpoint that has just turned cold, while its first
+// votes are under way. All requests must be told to ask again after firstRoundDelay: one that gets
+// maxRetryDelay instead avoids the endpoint for that long.
 func TestFirstAsks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o, other := coldOwner(t), coldOwner(t)
@@ -84,18 +86,18 @@
 		o.SetPeers(slowPeers{pairPeers{other}})
 		spec := o.board.Config.View().Endpoint("e")
 		if !o.Starts.owns(o.board.Config.View(), spec, time.Now()) {
-			t.Fatal("another owns it")
+			t.Fatal("another host owns the endpoint")
 		}
 		for k := range 5 {
 			reply, err := o.Starts.Ask(StartArgs{Endpoint: config.NameNumber("e"), Wait: 100})
-			if err != nil || reply.Given || reply.InMillis != int(firstRound.Milliseconds()) {
-				t.Errorf("call %d: %+v, %v, want one in %s", k, reply, err, firstRound)
+			if err != nil || reply.Given || reply.InMillis != int(firstRoundDelay.Milliseconds()) {
+				t.Errorf("call %d: %+v, %v, want a retry in %s", k, reply, err, firstRoundDelay)
 			}
 			time.Sleep(time.Millisecond)
 		}
-		time.Sleep(startsTick)
-		if reply, _ := o.Starts.Ask(StartArgs{Endpoint: config.NameNumber("e")}); reply.InMillis != int(mostRetry.Milliseconds()) {
-			t.Errorf("%+v where the first round brought no vote, want one in %s", reply, mostRetry)
+		time.Sleep(voteInterval)
+		if reply, _ := o.Starts.Ask(StartArgs{Endpoint: config.NameNumber("e")}); reply.InMillis != int(maxRetryDelay.Milliseconds()) {
+			t.Errorf("%+v after a first round without votes, want a retry in %s", reply, maxRetryDelay)
 		}
 	})
 }
@@ -108,7 +110,7 @@
 	return p.pairPeers.Vote(ctx, h, a)
 }
 
-// downEngine answers reports once it is back.
+// downEngine fails state polls until it is back.
 type downEngine struct {
 	endpoint.Engine
 	back bool
@@ -123,8 +125,8 @@
 
 func (e *downEngine) Traits() endpoint.Traits { return endpoint.Traits{} }
 
-// TestBackCold checks that an endpoint which was out of its owner's reach counts as cold
-// for as long as a start leaves it so, whatever its registration says.
+// TestBackCold checks that an endpoint that was unreachable for its owner counts as cold for its
+// cold start time, whatever its registration says: it may have restarted unnoticed.
 func TestBackCold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := coldOwner(t)
@@ -132,45 +134,45 @@
 		o.engine = engine
 		spec := *o.board.Config.View().Endpoint("e")
 		spec.ColdUntil, spec.ColdStartMillis = time.Time{}, 3000
-		b := newBook(o.board.Config.View(), &spec, 1, time.Now())
-		cold := func() bool { return b.digest(time.Now(), true).Flags&route.FlagCold != 0 }
+		sched := newScheduler(o.board.Config.View(), &spec, 1, time.Now())
+		cold := func() bool { return sched.digest(time.Now(), true).Flags&route.FlagCold != 0 }
 		for range downAfter {
-			o.pollState(t.Context(), b)
+			o.pollState(t.Context(), sched)
 		}
 		if cold() {
 			t.Error("cold while it is down")
 		}
 		engine.back = true
-		o.pollState(t.Context(), b)
+		o.pollState(t.Context(), sched)
 		if !cold() {
-			t.Error("not taken for cold as it came back")
+			t.Error("not cold right after it came back")
 		}
 		time.Sleep(3100 * time.Millisecond)
-		o.pollState(t.Context(), b)
+		o.pollState(t.Context(), sched)
 		if cold() {
-			t.Error("taken for cold for longer than a start leaves it so")
+			t.Error("still cold after its cold start time")
 		}
 	})
 }
 
-// TestStartsUnknown asks for starts and votes of an endpoint that is not there.
+// TestStartsUnknown requests permits and votes for an endpoint that doesn't exist.
 func TestStartsUnknown(t *testing.T) {
 	o := coldOwner(t)
 	if _, err := o.Starts.Ask(StartArgs{Endpoint: 77}); err == nil {
-		t.Error("a start at an unknown endpoint")
+		t.Error("a permit for an unknown endpoint")
 	}
 	if r := o.Starts.Vote(VoteArgs{Host: 1, Endpoints: []uint32{77}}); len(r.Given) != 1 || r.Given[0] {
 		t.Errorf("a vote for an unknown endpoint: %+v", r)
 	}
 	a := VoteArgs{Endpoints: []uint32{config.NameNumber("e")}}
-	o.Starts.take(a, 1, time.Now(), VoteReply{Given: []bool{true, true}})
+	o.Starts.recordVotes(a, 1, time.Now(), VoteReply{Given: []bool{true, true}})
 	if n, _ := o.Starts.Count(a.Endpoints[0]); n != 0 {
-		t.Error("an answer of another length was taken in")
+		t.Error("a reply with the wrong length was accepted")
 	}
 }
 
-// TestColdDigest checks that an owner tells of a cold endpoint, also to hosts whose roster
-// is old, and that it takes requests for it.
+// TestColdDigest checks that an owner's digest marks a cold endpoint, which also informs hosts
+// with an old roster, and that the owner still accepts requests for it.
 func TestColdDigest(t *testing.T) {
 	o := coldOwner(t)
 	number := config.NameNumber("e")
@@ -179,28 +181,28 @@
 		t.Errorf("refused with %v, %v", reply.Code, err)
 	}
 	if reply.Digest.Flags&route.FlagCold == 0 {
-		t.Errorf("flags %b don't tell that it is cold", reply.Digest.Flags)
+		t.Errorf("flags %b don't mark the endpoint as cold", reply.Digest.Flags)
 	}
 	s := route.State{Spec: &config.Endpoint{ColdPerSecond: 21}, Digest: reply.Digest, At: time.Now()}
 	if !s.Cold(time.Now()) || s.Cold(time.Now().Add(time.Minute)) {
-		t.Error("an owner's word holds for no time, or for ever")
+		t.Error("an owner's cold flag expires at once, or never")
 	}
 }
 
-// TestColdUnbound checks that an owner doesn't tell of a cold endpoint whose pool names no
-// bound: nobody limits what it is sent then, and other regions read a flag as closed.
+// TestColdUnbound checks that an owner's digest doesn't mark a cold endpoint whose pool names no
+// bound. Calls to it are not limited, and other regions would treat a flagged endpoint as closed.
 func TestColdUnbound(t *testing.T) {
 	o := coldOwner(t)
 	spec := *o.board.Config.View().Endpoint("e")
 	spec.ColdPerSecond = 0
-	b := newBook(o.board.Config.View(), &spec, 1, time.Now())
-	if f := b.digest(time.Now(), true).Flags; f&route.FlagCold != 0 {
-		t.Errorf("flags %b tell that it is cold", f)
+	sched := newScheduler(o.board.Config.View(), &spec, 1, time.Now())
+	if f := sched.digest(time.Now(), true).Flags; f&route.FlagCold != 0 {
+		t.Errorf("flags %b mark the endpoint as cold", f)
 	}
 }
 
-// TestNoted checks what counts as sent to a warm endpoint: reservations do, but not those
-// for copies, to which nothing is sent.
+// TestNoted checks that reservations at a warm endpoint count as sent requests, except those for
+// replicas, for which no request is sent.
 func TestNoted(t *testing.T) {
 	for _, spare := range []int{0, 10} {
 		o := coldOwner(t)
@@ -214,13 +216,13 @@
 		if err != nil || reply.Code != result.OK {
 			t.Fatalf("refused with %v, %v", reply.Code, err)
 		}
-		if noted := o.Starts.paces[number] != nil; noted != (spare == 0) {
-			t.Errorf("with %d tokens to spare noted: %v", spare, noted)
+		if noted := o.Starts.permits[number] != nil; noted != (spare == 0) {
+			t.Errorf("with %d spare tokens recorded: %v", spare, noted)
 		}
 	}
 }
 
-// BenchmarkVote measures a vote for ten endpoints of a failure domain of 75 hosts, of 300.
+// BenchmarkVote measures a vote for ten endpoints of a failure domain with 75 of 300 hosts.
 func BenchmarkVote(b *testing.B) {
 	o := coldOwner(b)
 	roster := &config.RosterList{Revision: 3}
--- a/owner/tenure.go
+++ b/owner/tenure.go
@@ -7,71 +7,71 @@
 	"github.com/embercove/embercove/config"
 )
 
-// mayOrder reports whether this host's view of the members and the roster is
-// good enough to give orders by. Without a majority of the known hosts it isn't:
-// the others may take this one for gone and order the same runner.
-func (o *Owner) mayOrder(v *config.View, now time.Time) bool {
+// canOrder reports whether this host's view of the members and the roster is reliable enough to
+// send orders. Without a majority of the known hosts it isn't: the others may consider this host
+// gone and order the same runner.
+func (o *Owner) canOrder(v *config.View, now time.Time) bool {
 	members := o.board.Hosts.Members(now)
 	o.balance.mu.Lock()
 	defer o.balance.mu.Unlock()
-	if members != o.balance.members || o.balance.since.IsZero() {
-		o.balance.members, o.balance.since = members, now
+	if members != o.balance.members || o.balance.membersSince.IsZero() {
+		o.balance.members, o.balance.membersSince = members, now
 	}
-	o.balance.settled = now.Sub(o.balance.since) >= settledAfter
-	for number, t := range o.balance.orderer {
-		if now.Sub(o.balance.seen(t)) > unseenFor {
-			delete(o.balance.orderer, number)
+	o.balance.membersSettled = now.Sub(o.balance.membersSince) >= settledAfter
+	for number, t := range o.balance.tenures {
+		if now.Sub(o.balance.lastCheck(t)) > maxCheckGap {
+			delete(o.balance.tenures, number)
 		}
 	}
 	return v.Roster > 0 && o.board.Hosts.Majority(now, len(o.board.Settings.Seeds)) && !o.board.Leaving() && !o.board.Pause.Check() &&
-		o.board.Config.HeardWithin(now, rosterFresh)
+		o.board.Config.HeardWithin(now, maxPlatformSilence)
 }
 
-// tenure is since when a host is the orderer of a runner.
+// tenure records since when a host has been the orderer of a runner.
 type tenure struct {
-	host  uint32
-	since time.Time
-	seen  time.Time // last
+	host      uint32
+	since     time.Time
+	lastCheck time.Time // last check
 }
 
-// unseenFor is how long nobody may have looked who a runner's orderer is for its
-// tenure to go on.
-const unseenFor = 3 * balanceEvery
+// maxCheckGap is the maximum time between two checks of who a runner's orderer is. After a longer
+// gap the tenure starts again.
+const maxCheckGap = 3 * balanceInterval
 
-// takesOrders returns the host that a runner takes orders from, and notes since when: the
-// one of the hosts of its failure domain that owns it where nobody is doubted. A domain
-// without hosts gets no orders: 0.
-func (o *Owner) takesOrders(hosts *blackboard.Candidates, number uint32, now time.Time) (host uint32) {
+// updateTenure returns the orderer of a runner and updates its tenure. The orderer is the host of
+// the runner's failure domain that would own it if no host were suspected. A domain without
+// hosts gets no orders: the result is 0.
+func (o *Owner) updateTenure(hosts *blackboard.Candidates, number uint32, now time.Time) (host uint32) {
 	host, ok := hosts.FirstSteady(uint64(number))
 	o.balance.mu.Lock()
 	defer o.balance.mu.Unlock()
 	if !ok {
-		delete(o.balance.orderer, number)
+		delete(o.balance.tenures, number)
 		return 0
 	}
-	t := o.balance.orderer[number]
-	if t.host != host || now.Sub(o.balance.seen(t)) > unseenFor {
+	t := o.balance.tenures[number]
+	if t.host != host || now.Sub(o.balance.lastCheck(t)) > maxCheckGap {
 		t = tenure{host: host, since: now}
 	}
-	t.seen = now
-	o.balance.orderer[number] = t
+	t.lastCheck = now
+	o.balance.tenures[number] = t
 	return host
 }
 
-// seen returns when anybody last looked who the orderer of a runner is. A look at which
-// nothing had changed is one at all runners.
-func (b *balance) seen(t tenure) time.Time {
-	if b.last.at.After(t.seen) {
-		return b.last.at
+// lastCheck returns when the orderer of a runner was last checked. A check that found nothing changed
+// counts for all runners.
+func (b *balance) lastCheck(t tenure) time.Time {
+	if b.cache.validAt.After(t.lastCheck) {
+		return b.cache.validAt
 	}
-	return t.seen
+	return t.lastCheck
 }
 
-// tenured reports whether this host has been a runner's orderer for long enough that no
-// other can have ordered it lately.
-func (o *Owner) tenured(number uint32, now time.Time) bool {
+// hasTenure reports whether this host has been a runner's orderer for so long that no other host
+// can have sent it an order lately.
+func (o *Owner) hasTenure(number uint32, now time.Time) bool {
 	o.balance.mu.Lock()
 	defer o.balance.mu.Unlock()
-	t, ok := o.balance.orderer[number]
-	return ok && t.host == o.board.Number && (o.balance.settled || now.Sub(t.since) >= steadyAfter)
+	t, ok := o.balance.tenures[number]
+	return ok && t.host == o.board.Number && (o.balance.membersSettled || now.Sub(t.since) >= minTenure)
 }
