--- a/blackboard/behind.go
+++ b/blackboard/behind.go
@@ -6,33 +6,34 @@
 	"github.com/embercove/embercove/config"
 )
 
-// lack is what other hosts are known to have, and since when this one lacks it.
-type lack struct {
-	revision uint64          // of the configuration, the highest that another host told of
-	roster   config.Position // the same of the roster
-	since    time.Time       // of no meaning while this host lacks nothing
+// knownRevisions holds the latest revisions known to be in force on other hosts, and since when this
+// host has been behind.
+type knownRevisions struct {
+	revision uint64          // highest configuration revision reported by another host
+	roster   config.Position // highest roster revision reported by another host
+	since    time.Time       // meaningless while this host is not behind
 }
 
-// HeardOf notes which revision of the configuration and of the roster another host has
-// in force. It reports whether that is news of a configuration that this host lacks.
+// HeardOf records which revisions of the configuration and of the roster another host has in
+// force. It reports whether the configuration is newer than this host's and not yet known.
 func (t *ConfigTable) HeardOf(revision uint64, roster config.Position, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	before := t.lacks()
-	news := revision > t.lack.revision && revision > t.Revision()
-	t.lack.revision, t.lack.roster = max(t.lack.revision, revision), max(t.lack.roster, roster)
-	if !before && t.lacks() {
-		t.lack.since = now // else it has been behind since an earlier one
+	before := t.isBehind()
+	isNew := revision > t.latestKnown.revision && revision > t.Revision()
+	t.latestKnown.revision, t.latestKnown.roster = max(t.latestKnown.revision, revision), max(t.latestKnown.roster, roster)
+	if !before && t.isBehind() {
+		t.latestKnown.since = now // otherwise it has been behind since an earlier revision
 	}
-	return news
+	return isNew
 }
 
-// lacks reports whether another host has something newer; the caller holds the lock.
-func (t *ConfigTable) lacks() bool {
-	return t.lack.revision > t.Revision() || t.lack.roster > t.rosterRevision()
+// isBehind reports whether another host has a newer revision. The caller holds the lock.
+func (t *ConfigTable) isBehind() bool {
+	return t.latestKnown.revision > t.Revision() || t.latestKnown.roster > t.rosterRevision()
 }
 
-// rosterRevision is RosterRevision; the caller holds the lock.
+// rosterRevision is like RosterRevision. The caller holds the lock.
 func (t *ConfigTable) rosterRevision() config.Position {
 	if t.roster == nil {
 		return 0
@@ -40,13 +41,13 @@
 	return t.roster.Revision
 }
 
-// Behind returns how long this host has known of a configuration or a roster that it
-// lacks; 0: of none.
+// Behind returns how long this host has known of a newer configuration or roster than its own,
+// or 0 if it knows of none.
 func (t *ConfigTable) Behind(now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !t.lacks() {
+	if !t.isBehind() {
 		return 0
 	}
-	return now.Sub(t.lack.since)
+	return now.Sub(t.latestKnown.since)
 }
--- a/blackboard/board.go
+++ b/blackboard/board.go
@@ -27,17 +27,17 @@
 	Requests  *RequestTable
 	Keys      *KeyTable
 	Quotas    *quota.Accounts      // of the teams whose limits this host holds
-	Suspects  *quarantine.Registry // requests under which endpoints ended
+	Suspects  *quarantine.Registry // requests during which endpoints crashed
 	Invariant *invariant.Set
 	Pause     *Pause
 	Wake      *Wake
 
-	began    time.Time
-	leaving  atomic.Bool
-	draining atomic.Bool
-	left     atomic.Pointer[time.Time] // when the process began to leave
-	stopAt   atomic.Pointer[time.Time] // when a planned stop ends; nil: no end is set
-	counter  atomic.Uint64
+	startedAt    time.Time
+	leaving      atomic.Bool
+	draining     atomic.Bool
+	leavingSince atomic.Pointer[time.Time] // when the process began to leave
+	stopDeadline atomic.Pointer[time.Time] // deadline of a planned stop; nil: none
+	counter      atomic.Uint64
 }
 
 // New returns the empty board of a process.
@@ -47,7 +47,7 @@
 		Settings: s, Number: request.HostNumber(s.Host), Incarnation: uint64(time.Now().UnixMilli()),
 		Config: newConfigTable(inv), Emptied: new(EvacuationTable), Domains: newDomainTable(s.Domain), Endpoints: newEndpointTable(),
 		Regions: newRegionTable(), Requests: newRequestTable(inv),
-		Keys: newKeyTable(), Quotas: quota.NewAccounts(rand.Uint64() << 16), Suspects: quarantine.New(s.Host), Invariant: inv, Wake: newWake(), began: time.Now(),
+		Keys: newKeyTable(), Quotas: quota.NewAccounts(rand.Uint64() << 16), Suspects: quarantine.New(s.Host), Invariant: inv, Wake: newWake(), startedAt: time.Now(),
 		Pause: NewPause(config.Millis(s.PauseMillis)),
 	}
 	b.Hosts = newHostTable(Host{
@@ -57,26 +57,25 @@
 	return b
 }
 
-// meetTime is how long a host that starts takes to meet the others: two exchanges
-// with a seed, and a time-out of one that is silent. Until then it would take itself
-// for the only host of its domain and all endpoints for its own, and hundreds of hosts
-// that start at once would each ask all endpoints for their reports.
-const meetTime = 500 * time.Millisecond
+// discoveryTime is how long a starting host takes to discover the others: two exchanges with a
+// seed and the timeout of a silent one. Until then it would consider itself the only host of
+// its domain and the owner of all endpoints, and hundreds of hosts that start at once would
+// each poll all endpoints.
+const discoveryTime = 500 * time.Millisecond
 
-// Meeting reports whether the host has only just started and knows of seeds that it
-// may not have met yet.
+// Meeting reports whether the host has just started and has seeds that it may not have
+// contacted yet.
 func (b *Board) Meeting(now time.Time) bool {
-	return len(b.Settings.Seeds) > 0 && now.Sub(b.began) < meetTime
+	return len(b.Settings.Seeds) > 0 && now.Sub(b.startedAt) < discoveryTime
 }
 
-// joinTime is how long a host that starts may take to meet the others where hundreds
-// start at once over narrow links. Later than that they count as gone.
+// joinTime is how long a starting host may take to discover the others when hundreds start at
+// once over narrow links. Hosts that are still unknown after that count as gone.
 const joinTime = 4 * time.Second
 
-// Joining reports whether the host has started so lately that it may have met only some
-// of the others.
+// Joining reports whether the host started so recently that it may know only some of the others.
 func (b *Board) Joining(now time.Time) bool {
-	return len(b.Settings.Seeds) > 0 && now.Sub(b.began) < joinTime
+	return len(b.Settings.Seeds) > 0 && now.Sub(b.startedAt) < joinTime
 }
 
 // NextID returns a new request id.
@@ -84,11 +83,11 @@
 	return request.ID{Host: b.Number, Incarnation: b.Hosts.Self().Incarnation, Counter: b.counter.Add(1)}
 }
 
-// SetLeaving takes readiness away and the endpoints to other owners, while
-// requests are still taken. It isn't undone.
+// SetLeaving ends readiness and moves the endpoints to other owners, while requests are still
+// accepted. It can't be undone.
 func (b *Board) SetLeaving() {
 	now := time.Now()
-	b.left.CompareAndSwap(nil, &now)
+	b.leavingSince.CompareAndSwap(nil, &now)
 	b.leaving.Store(true)
 	b.Hosts.SetLeaving()
 	b.Wake.All()
@@ -97,25 +96,25 @@
 // Leaving reports whether the process is about to stop.
 func (b *Board) Leaving() bool { return b.leaving.Load() }
 
-// LeavingFor returns how long ago the process began to leave; 0: it hasn't.
+// LeavingFor returns how long ago the process began to leave, or 0 if it hasn't.
 func (b *Board) LeavingFor() time.Duration {
-	at := b.left.Load()
+	at := b.leavingSince.Load()
 	if at == nil {
 		return 0
 	}
 	return time.Since(*at)
 }
 
-// SetStop sets when a planned stop ends, whatever is still in progress.
-func (b *Board) SetStop(at time.Time) { b.stopAt.Store(&at) }
+// SetStop sets the time at which a planned stop ends, whatever is still in progress.
+func (b *Board) SetStop(at time.Time) { b.stopDeadline.Store(&at) }
 
 // StopsWithin reports whether a planned stop ends before d has passed.
 func (b *Board) StopsWithin(d time.Duration) bool {
-	at := b.stopAt.Load()
+	at := b.stopDeadline.Load()
 	return at != nil && time.Until(*at) < d
 }
 
-// SetDraining has new requests refused. It isn't undone.
+// SetDraining makes the process refuse new requests. It can't be undone.
 func (b *Board) SetDraining() { b.draining.Store(true) }
 
 // Draining reports whether new requests are refused.
--- a/blackboard/census.go
+++ b/blackboard/census.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// Census is what is known of the number of hosts.
+// Census is a count of the known hosts.
 type Census struct {
-	Hosts   int             // all that are known and don't leave, this one among them
-	Part    float64         // of the known hosts of the own failure domain that are live
-	Domains map[string]bool // with any known host
-	Changed time.Time       // when the own failure domain last got or lost a host, or one began to leave
+	Hosts   int             // known hosts that are not leaving, including this one
+	Part    float64         // live share of the known hosts of the own failure domain
+	Domains map[string]bool // failure domains with a known host
+	Changed time.Time       // when a host of the own failure domain last joined, went or began to leave
 }
 
-// Census counts the hosts that don't leave.
+// Census counts the hosts that are not leaving.
 func (t *HostTable) Census(now time.Time) Census {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -38,8 +38,8 @@
 	return c
 }
 
-// noteChange notes when a host of the own failure domain came, began to leave or fell
-// silent.
+// noteChange updates Changed with the time at which a host of the own failure domain joined,
+// began to leave or fell silent.
 func (c *Census) noteChange(h *Host, live bool) {
 	at := h.Noted
 	if !live {
@@ -50,7 +50,7 @@
 	}
 }
 
-// Regions counts the hosts of each region that are live and don't leave.
+// Regions counts the live hosts of each region that are not leaving.
 func (t *HostTable) Regions(now time.Time) map[string]int {
 	out := map[string]int{}
 	t.Each(now, func(h *Host, live bool) {
--- a/blackboard/choice.go
+++ b/blackboard/choice.go
@@ -9,12 +9,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Which host is chosen for a key, by highest random weight among the live hosts,
-// and what tells that the choice may have changed.
+// Choosing a host for a key by highest random weight among the live hosts, and detecting
+// that the choice may have changed.
 
-// Order returns the live, not leaving hosts of a domain in rendezvous order
-// for a key: the first owns it, the next is its successor. Without any such
-// host the list is empty.
+// Order returns the live hosts of a domain that are not leaving, in rendezvous order for a
+// key: the first owns it, the next is its successor. The list may be empty.
 func (t *HostTable) Order(key uint64, domain string, now time.Time) []Host {
 	type scored struct {
 		Host
@@ -54,11 +53,10 @@
 	return n
 }
 
-// Majority reports whether more than half of the known hosts are live, of which
-// there are at least so many. Hosts that said that they leave don't count. At
-// most one side of a partition has a majority; after the loss of many hosts
-// none has, until they are back.
-func (t *HostTable) Majority(now time.Time, least int) bool {
+// Majority reports whether more than half of the known hosts are live, of which there are
+// assumed to be at least minKnown. Leaving hosts don't count. At most one side of a partition
+// has a majority. After the loss of many hosts no side has one until they are back.
+func (t *HostTable) Majority(now time.Time, minKnown int) bool {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	known, live := 0, 0
@@ -71,11 +69,12 @@
 			live++
 		}
 	}
-	return 2*live > max(known, least)
+	return 2*live > max(known, minKnown)
 }
 
-// Fingerprint returns a number that changes when any domain's set of live,
-// not leaving hosts does. It costs far less than working ownership out.
+// Fingerprint returns a number that changes when any domain's set of live hosts that are not
+// leaving changes, or when a host becomes or ceases to be unconfirmed. It is much cheaper than
+// computing ownership.
 func (t *HostTable) Fingerprint(now time.Time) uint64 {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -88,8 +87,8 @@
 	return sum
 }
 
-// Members is Fingerprint without regard to doubts, which each host has for
-// itself.
+// Members is like Fingerprint, but ignores whether hosts are unconfirmed, which each host
+// decides for itself.
 func (t *HostTable) Members(now time.Time) uint64 {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -106,45 +105,45 @@
 	return sum
 }
 
-// First returns the first host of Order that isn't doubted, without building
-// the list; a doubted one if all are.
+// First returns the first host of Order that isn't unconfirmed, or the first one if all are
+// unconfirmed. It doesn't build the list.
 func (t *HostTable) First(key uint64, domain string, now time.Time) (Host, bool) {
-	return t.first(key, now, func(h *Host) bool { return h.Domain == domain }, passDoubted)
+	return t.first(key, now, func(h *Host) bool { return h.Domain == domain }, skipUnconfirmed)
 }
 
-// FirstSteady returns the first host of Order without regard to doubts. All
-// hosts that see the same members agree on it.
+// FirstSteady returns the first host of Order, unconfirmed or not. All hosts with the same view
+// of the members agree on it.
 func (t *HostTable) FirstSteady(key uint64, domain string, now time.Time) (Host, bool) {
-	return t.first(key, now, func(h *Host) bool { return h.Domain == domain }, takeDoubted)
+	return t.first(key, now, func(h *Host) bool { return h.Domain == domain }, includeUnconfirmed)
 }
 
-// FirstOfRegion returns the live, not leaving host of a region that wins the
-// rendezvous hash for a key.
+// FirstOfRegion returns the live host of a region that is not leaving and wins the rendezvous
+// hash for a key.
 func (t *HostTable) FirstOfRegion(key uint64, region string, now time.Time) (Host, bool) {
-	return t.first(key, now, func(h *Host) bool { return h.Region == region }, passDoubted)
+	return t.first(key, now, func(h *Host) bool { return h.Region == region }, skipUnconfirmed)
 }
 
-// doubts says what becomes of doubted hosts in a choice.
-type doubts bool
+// unconfirmedRule says how a choice treats unconfirmed hosts.
+type unconfirmedRule bool
 
-// A doubted host answers nobody here, so the next one stands in for it until its
-// heartbeat rises; but others may not doubt it.
+// An unconfirmed host doesn't answer this host, so the next one replaces it until its heartbeat
+// rises. Other hosts may still reach it.
 const (
-	passDoubted doubts = true
-	takeDoubted doubts = false
+	skipUnconfirmed    unconfirmedRule = true
+	includeUnconfirmed unconfirmedRule = false
 )
 
-func (t *HostTable) first(key uint64, now time.Time, among func(h *Host) bool, d doubts) (Host, bool) {
+func (t *HostTable) first(key uint64, now time.Time, eligible func(h *Host) bool, d unconfirmedRule) (Host, bool) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
-	doubted := func(h *Host) bool { return d == passDoubted && h.Doubted }
+	unconfirmed := func(h *Host) bool { return d == skipUnconfirmed && h.Doubted }
 	var best *Host
 	var top uint64
 	for _, h := range t.hosts {
-		if !among(h) || h.Leaving || !t.live(h, now) || best != nil && doubted(h) && !doubted(best) {
+		if !eligible(h) || h.Leaving || !t.live(h, now) || best != nil && unconfirmed(h) && !unconfirmed(best) {
 			continue
 		}
-		if s := Rendezvous(key, h.Number); best == nil || s > top || doubted(best) && !doubted(h) {
+		if s := Rendezvous(key, h.Number); best == nil || s > top || unconfirmed(best) && !unconfirmed(h) {
 			best, top = h, s
 		}
 	}
@@ -154,15 +153,15 @@
 	return *best, true
 }
 
-// Candidates are the live, not leaving hosts of a failure domain at one moment, for
-// choices of many keys. First of the table looks through all hosts for each key, which is
-// dear where hundreds of hosts choose for thousands of endpoints.
+// Candidates is a snapshot of the live hosts of a failure domain that are not leaving, for
+// choosing hosts for many keys. HostTable.First scans all hosts for each key, which is expensive
+// when hundreds of hosts choose for thousands of endpoints.
 type Candidates struct {
-	hosts   []Host
-	doubted int // how many of them are, which come last
+	hosts       []Host
+	unconfirmed int // number of unconfirmed hosts, which come last
 }
 
-// Candidates returns those of a failure domain.
+// Candidates returns the candidates of a failure domain.
 func (t *HostTable) Candidates(domain string, now time.Time) *Candidates {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -182,13 +181,13 @@
 	})
 	for _, h := range c.hosts {
 		if h.Doubted {
-			c.doubted++
+			c.unconfirmed++
 		}
 	}
 	return c
 }
 
-// AnyIn reports whether a failure domain has a live, not leaving host.
+// AnyIn reports whether a failure domain has a live host that is not leaving.
 func (t *HostTable) AnyIn(domain string, now time.Time) bool {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -200,23 +199,25 @@
 	return false
 }
 
-// Empty reports whether the failure domain has no such host.
+// Empty reports whether there are no candidates.
 func (c *Candidates) Empty() bool { return len(c.hosts) == 0 }
 
-// First is HostTable.First.
+// First is like HostTable.First.
 func (c *Candidates) First(key uint64) (number uint32, ok bool) {
-	sound := c.hosts[:len(c.hosts)-c.doubted]
-	if len(sound) == 0 {
-		sound = c.hosts
+	confirmed := c.hosts[:len(c.hosts)-c.unconfirmed]
+	if len(confirmed) == 0 {
+		confirmed = c.hosts
 	}
-	return heaviest(sound, key)
+	return highestWeight(confirmed, key)
 }
 
-// FirstSteady is HostTable.FirstSteady.
-func (c *Candidates) FirstSteady(key uint64) (number uint32, ok bool) { return heaviest(c.hosts, key) }
+// FirstSteady is like HostTable.FirstSteady.
+func (c *Candidates) FirstSteady(key uint64) (number uint32, ok bool) {
+	return highestWeight(c.hosts, key)
+}
 
-// heaviest returns the host of the highest weight for a key.
-func heaviest(hosts []Host, key uint64) (number uint32, ok bool) {
+// highestWeight returns the host with the highest weight for a key.
+func highestWeight(hosts []Host, key uint64) (number uint32, ok bool) {
 	var top uint64
 	for i := range hosts {
 		if w := Rendezvous(key, hosts[i].Number); i == 0 || w > top {
--- a/blackboard/choice_test.go
+++ b/blackboard/choice_test.go
@@ -11,8 +11,8 @@
 	"github.com/embercove/embercove/request"
 )
 
-// TestCandidates checks that choices of many keys come out as those of single ones,
-// whatever is known of the hosts.
+// TestCandidates checks that Candidates chooses the same hosts as HostTable, for random sets of
+// leaving, unconfirmed and suspected hosts.
 func TestCandidates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &config.Settings{Host: "self", Domain: "a", Region: "r"}
--- a/blackboard/cold_test.go
+++ b/blackboard/cold_test.go
@@ -17,9 +17,9 @@
 	return config.Endpoint{Name: "e", Address: "10.0.0.1:1", Domain: "d", Pool: "p", Role: config.Service, ColdMillis: millis}
 }
 
-// TestColdRoster plays what a cold endpoint registers, to one host by the store and to
-// another by the first, and names until when both take it for cold and whether the second
-// was told anything.
+// TestColdRoster sends the registrations of a cold endpoint to one host by the store and to a second
+// host by the first. It checks until when both consider the endpoint cold, and that the second is
+// sent only real changes, not every heartbeat.
 func TestColdRoster(t *testing.T) {
 	const ahead = time.Hour // of the second host's clock
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -31,11 +31,11 @@
 	}{
 		{0, 3000, 3000, true},
 		{1200, 1800, 3000, false},    // the next heartbeat says the same
-		{1300, 1690, 2990, false},    // and one that was under way for longer
-		{2400, 0, 0, true},           // warm, earlier than it said
+		{1300, 1690, 2990, false},    // and one that was delayed
+		{2400, 0, 0, true},           // warm earlier than announced
 		{5000, 3000, 8000, true},     // cold again
-		{6000, 3000, 9000, true},     // started anew within a heartbeat
-		{12_000, 3000, 15_000, true}, // started anew, and nobody heard that it was warm
+		{6000, 3000, 9000, true},     // restarted within a heartbeat
+		{12_000, 3000, 15_000, true}, // restarted, and the warm state was never reported
 	} {
 		at := now.Add(config.Millis(tc.at))
 		r := &config.RosterList{Revision: config.Position(i + 1), Endpoints: []config.Endpoint{coldEndpoint(tc.left).Heard(at)}}
@@ -54,7 +54,7 @@
 			full = other.After(change)
 		}
 		if told != tc.told {
-			t.Errorf("at %d ms: told %v, want %v", tc.at, told, tc.told)
+			t.Errorf("at %d ms: sent %v, want %v", tc.at, told, tc.told)
 		}
 		if _, err := other.OfferRoster(full, later.Add(ahead)); err != nil {
 			t.Fatal(err)
@@ -68,15 +68,15 @@
 				want = want.Add(ahead)
 			}
 			if got.Sub(want).Abs() > time.Duration(k)*50*time.Millisecond {
-				t.Errorf("at %d ms host %d takes it for cold until %s, want %s", tc.at, k, got, want)
+				t.Errorf("at %d ms host %d considers it cold until %s, want %s", tc.at, k, got, want)
 			}
 		}
 	}
 }
 
-// TestSuspected checks that endpoints whose failure domain comes back, from being emptied
-// or from being cut off, count as cold for as long as a start leaves them so, and stay so
-// when the table is laid out anew.
+// TestSuspected checks that endpoints count as cold for their cold start time after their failure
+// domain was evacuated or cut off, because they may have restarted unnoticed. A new view must not
+// reset this.
 func TestSuspected(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -84,7 +84,7 @@
 		back  func(b *Board)
 	}{
 		{"cut off", func(b *Board) { b.Endpoints.SetCutOff("d", time.Now().Add(time.Hour)) }, func(b *Board) { b.Endpoints.SetCutOff("d", time.Time{}) }},
-		{"emptied", func(b *Board) {
+		{"evacuated", func(b *Board) {
 			b.Endpoints.Touch(route.Number("e"), func(s *route.State) { s.Evacuated = true })
 		}, func(*Board) {}},
 	} {
--- a/blackboard/config.go
+++ b/blackboard/config.go
@@ -13,23 +13,23 @@
 	"github.com/embercove/embercove/result"
 )
 
-// ConfigTable holds the revision in force. It only rises.
+// ConfigTable holds the configuration and the roster in force. Their revisions only rise.
 type ConfigTable struct {
 	inv   *invariant.Set
 	inUse atomic.Pointer[config.View]
 
-	mu       sync.Mutex
-	roster   *config.Roster // nil before the first
-	lapsed   config.Lapsed  // of the roster
-	kept     keptEvacuations
-	log      rosterLog
-	rejected uint64 // highest revision that was rejected
-	cause    string
-	since    time.Time // when the revision in force was accepted
-	heard    time.Time // when the platform last answered this host, or one that told all it knows
-	told     time.Time // the same of what others told alone
-	lack     lack
-	sources  []Source // documents that were in force, the newest last
+	mu                 sync.Mutex
+	roster             *config.Roster // nil before the first
+	expired            config.Lapsed  // of the roster
+	kept               keptEvacuations
+	log                rosterLog
+	rejected           uint64 // highest revision that was rejected
+	rejectedCause      string
+	inForceSince       time.Time // when the revision in force was accepted
+	platformAnsweredAt time.Time // time of the platform's last answer known here, to this or another host
+	reportedAnswerAt   time.Time // the same for answers reported by other hosts only
+	latestKnown        knownRevisions
+	sources            []Source // documents that are or were in force, the newest last
 }
 
 func newConfigTable(inv *invariant.Set) *ConfigTable { return &ConfigTable{inv: inv} }
@@ -45,16 +45,15 @@
 	return 0
 }
 
-// Rejected returns the highest revision that was rejected; 0: none.
+// Rejected returns the highest revision that was rejected, or 0 if none was.
 func (t *ConfigTable) Rejected() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.rejected
 }
 
-// Offer accepts a published document if it is valid and newer than the one
-// in force, and reports whether it came into force. An error says why a
-// newer document was rejected; the one in force stays.
+// Offer puts a published document in force if it is valid and newer than the one in force, and
+// reports whether it did. The error says why a newer document was rejected.
 func (t *ConfigTable) Offer(revision uint64, src []byte) (bool, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -71,26 +70,26 @@
 	v, err := config.NewView(revision, src)
 	if err != nil {
 		if revision > t.rejected {
-			t.rejected, t.cause = revision, err.Error()
+			t.rejected, t.rejectedCause = revision, err.Error()
 		}
 		return false, result.Errorf(result.RevisionInvalid, "revision %d: %v", revision, err)
 	}
 	t.keepSource(v)
 	if cur == nil {
-		v = v.WithRoster(t.withKept(t.roster))
+		v = v.WithRoster(t.withKeptEvacuations(t.roster))
 	} else {
 		v = v.WithRosterOf(cur)
 	}
 	old := t.inUse.Swap(v)
 	t.inv.Check(old == nil || old.Revision < revision, invariant.RevisionRises, "from %v to %d", old, revision)
-	t.since = time.Now()
+	t.inForceSince = time.Now()
 	return true, nil
 }
 
-// OfferRoster takes in the endpoints that registered themselves, if they are
-// of a later revision than those known, and reports whether they were taken.
-// Endpoints with faults are left out; the error names them. So are those
-// without a registration that this host knows to be gone.
+// OfferRoster puts a roster of self-registered endpoints in force if its revision is newer than
+// that of the roster in force, and reports whether it did. Invalid endpoints are left out; the
+// error names one of them. Endpoints with an expired registration that this host knows to be
+// gone are left out as well.
 func (t *ConfigTable) OfferRoster(r *config.Roster, now time.Time) (bool, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -98,52 +97,53 @@
 		return false, nil
 	}
 	if t.roster != nil && r.Revision.Era() > t.roster.Revision.Era() {
-		r = t.restored(r, now)
+		r = t.mergeRestored(r, now)
 	}
-	judged := map[uint32]*config.Endpoint{}
+	merged := map[uint32]*config.Endpoint{}
 	var faults error
-	trie.Diff(t.known(), r.Endpoints, func(number uint32, was, told *config.Endpoint) {
-		if told == nil {
+	trie.Diff(t.knownEndpoints(), r.Endpoints, func(number uint32, known, offered *config.Endpoint) {
+		if offered == nil {
 			return
 		}
-		e, err := t.judge(was, told, now)
+		e, err := t.mergeEndpoint(known, offered, now)
 		if err != nil {
-			faults = errors.Wrapf(err, "endpoint %q", told.Name)
+			faults = errors.Wrapf(err, "endpoint %q", offered.Name)
 		}
-		judged[number] = e
+		merged[number] = e
 	})
-	t.useRoster(&config.Roster{Revision: r.Revision, Endpoints: config.Apply(r.Endpoints, judged), Evacuated: r.Evacuated})
+	t.useRoster(&config.Roster{Revision: r.Revision, Endpoints: config.Apply(r.Endpoints, merged), Evacuated: r.Evacuated})
 	return true, faults
 }
 
-// known returns the endpoints of the roster; the caller holds the lock.
-func (t *ConfigTable) known() config.Endpoints {
+// knownEndpoints returns the endpoints of the roster. The caller holds the lock.
+func (t *ConfigTable) knownEndpoints() config.Endpoints {
 	if t.roster == nil {
 		return config.Endpoints{}
 	}
 	return t.roster.Endpoints
 }
 
-// judge returns an endpoint as it is used, of what was known of its number and what is told;
-// nil: it isn't. The caller holds the lock.
-func (t *ConfigTable) judge(was, told *config.Endpoint, now time.Time) (*config.Endpoint, error) {
-	if was != nil && was.Name != told.Name {
-		was = nil
+// mergeEndpoint merges an endpoint of an offered roster with the known endpoint of the same
+// number, and returns the endpoint to use, or nil if it is not to be used. The caller holds the
+// lock.
+func (t *ConfigTable) mergeEndpoint(known, offered *config.Endpoint, now time.Time) (*config.Endpoint, error) {
+	if known != nil && known.Name != offered.Name {
+		known = nil
 	}
-	e := *told
-	if was != nil && e.StartedBefore(was) {
-		e = *was
+	e := *offered
+	if known != nil && e.StartedBefore(known) {
+		e = *known
 	}
-	if was != nil && was.Leaving && !was.StartedBefore(&e) {
-		e.Leaving = true // until its process ends, also where the store has lost its mark
+	if known != nil && known.Leaving && !known.StartedBefore(&e) {
+		e.Leaving = true // until its process ends, even if the store has lost its leaving mark
 	}
 	if err := config.CheckRegistered(&e); err != nil {
 		return nil, err
 	}
 	if !e.Lapsed.IsZero() {
-		e.Lapsed = t.lapsedAt(was, now)
+		e.Lapsed = t.expiredSince(known, now)
 	}
-	if e.ColdUntil.IsZero() { // told by another host
+	if e.ColdUntil.IsZero() { // sent by another host
 		e = e.Heard(now)
 	}
 	if e.Expired(now) {
@@ -152,17 +152,17 @@
 	return &e, nil
 }
 
-// useRoster takes a roster over and puts it in force; the caller holds the lock.
+// useRoster puts a roster in force. The caller holds the lock.
 func (t *ConfigTable) useRoster(r *config.Roster) {
-	trie.Diff(t.known(), r.Endpoints, func(number uint32, _, now *config.Endpoint) { t.lapsed.Note(number, now) })
-	t.log.note(t.roster, r)
+	trie.Diff(t.knownEndpoints(), r.Endpoints, func(number uint32, _, now *config.Endpoint) { t.expired.Note(number, now) })
+	t.log.record(t.roster, r)
 	t.roster = r
 	if v := t.inUse.Load(); v != nil {
-		t.inUse.Store(v.WithRoster(t.withKept(r)))
+		t.inUse.Store(v.WithRoster(t.withKeptEvacuations(r)))
 	}
 }
 
-// Roster returns the endpoints that registered themselves, or nil.
+// Roster returns the roster in force, or nil before the first.
 func (t *ConfigTable) Roster() *config.Roster {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/blackboard/config_test.go
+++ b/blackboard/config_test.go
@@ -15,8 +15,8 @@
 const rosterDocument = `{"failure_domains": [{"name": "d", "region": "r"}], "targets": {"ttft_ms": 900, "tpot_ms": 10},
 "pools": [{"name": "p", "slots": 4}], "routes": [{"name": "r", "host": "h", "path_prefix": "/", "pools": [{"pool": "p", "weight": 1}]}]}`
 
-// rosterOf returns a roster of names; a name in upper case is without a
-// registration since the time given.
+// rosterOf returns a roster of endpoints by name; the registration of a name in upper case
+// expired at the given time.
 func rosterOf(revision config.Position, names string, since time.Time) *config.RosterList {
 	r := &config.RosterList{Revision: revision}
 	for i, name := range strings.Fields(names) {
@@ -29,8 +29,8 @@
 	return r
 }
 
-// TestLapsed checks how long endpoints without a registration are used, and
-// that no peer's older belief brings one back. Clocks of peers may be wrong.
+// TestLapsed checks how long endpoints with an expired registration are used, and that a peer's
+// older roster doesn't bring one back. The clocks of peers may be wrong.
 func TestLapsed(t *testing.T) {
 	type step struct {
 		after  time.Duration
@@ -42,15 +42,15 @@
 		steps []step
 		want  string
 	}{
-		{"used for a while", []step{{roster: "a b"}, {roster: "a B"}, {after: config.LapsedKept}}, "a b"},
-		{"then taken as gone", []step{{roster: "a b"}, {roster: "a B"}, {after: config.LapsedKept + 1}}, "a"},
+		{"used for the grace period", []step{{roster: "a b"}, {roster: "a B"}, {after: config.LapsedKept}}, "a b"},
+		{"then considered gone", []step{{roster: "a b"}, {roster: "a B"}, {after: config.LapsedKept + 1}}, "a"},
 		{"registered again in time", []step{{roster: "a b"}, {roster: "a B"}, {after: time.Second, roster: "a b"}, {after: time.Minute}}, "a b"},
 		{"a peer's clock is behind", []step{{roster: "a b"}, {roster: "a B", since: -time.Hour}, {after: time.Second}}, "a b"},
 		{"a peer's clock is ahead", []step{{roster: "a b"}, {roster: "a B", since: time.Hour}, {after: config.LapsedKept + 1}}, "a"},
 		{"a second offer doesn't prolong it", []step{{roster: "a b"}, {roster: "a B"}, {after: 2 * time.Second, roster: "a B"}, {after: time.Second}}, "a"},
 		{"a peer that noticed later", []step{{roster: "a b"}, {roster: "a B"}, {after: config.LapsedKept + 1}, {roster: "a B"}}, "a"},
-		{"known to have left before a peer says that it lapsed", []step{{roster: "a b"}, {roster: "a"}, {roster: "a B"}}, "a"},
-		{"a host that knows nothing takes them", []step{{roster: "a B"}}, "a b"},
+		{"known to have left before a peer reports it as expired", []step{{roster: "a b"}, {roster: "a"}, {roster: "a B"}}, "a"},
+		{"a host without a roster accepts them", []step{{roster: "a B"}}, "a b"},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -81,8 +81,8 @@
 	}
 }
 
-// TestRosterSince plays random rosters to a host and checks that another one,
-// which is told from time to time what it lacks, has the same.
+// TestRosterSince offers random rosters to a host and checks that a second host, which is sent
+// changes from time to time, ends up with the same roster.
 func TestRosterSince(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -128,11 +128,11 @@
 		t.Errorf("%d whole rosters and %d rows in %d changes", whole, rows, changes)
 	}
 	if full, change := one.RosterSince(one.RosterRevision(), now); full != nil || change != nil {
-		t.Error("something is told to a host that lacks nothing")
+		t.Error("something is sent to a host that is up to date")
 	}
 }
 
-// listed tells a roster's endpoints in the order of their names.
+// listed formats a roster's endpoints, ordered by name.
 func listed(r *config.Roster) string {
 	var out []string
 	for _, e := range r.Endpoints.All() {
@@ -142,7 +142,8 @@
 	return strings.Join(out, " ")
 }
 
-// TestBehind follows how long a host has known of a revision that it lacks.
+// TestBehind checks for how long a host reports itself as behind as revisions become known and
+// arrive.
 func TestBehind(t *testing.T) {
 	table := newConfigTable(new(invariant.Set))
 	start := time.Now()
@@ -155,16 +156,16 @@
 		want  time.Duration
 	}{
 		{"another has the first", func() bool { return table.HeardOf(3, 0, at(0)) }, true, 2, 2 * time.Second},
-		{"told again", func() bool { return table.HeardOf(3, 0, at(3)) }, false, 4, 4 * time.Second},
+		{"reported again", func() bool { return table.HeardOf(3, 0, at(3)) }, false, 4, 4 * time.Second},
 		{"a later one", func() bool { return table.HeardOf(5, 0, at(5)) }, true, 6, 6 * time.Second},
 		{"an earlier one", func() bool { return table.HeardOf(4, 0, at(6)) }, false, 7, 7 * time.Second},
-		{"the later one comes", func() bool { _, err := table.Offer(5, []byte(rosterDocument)); return err != nil }, false, 8, 0},
-		{"told of what is in force", func() bool { return table.HeardOf(5, 0, at(9)) }, false, 10, 0},
+		{"the later one arrives", func() bool { _, err := table.Offer(5, []byte(rosterDocument)); return err != nil }, false, 8, 0},
+		{"a report of the one in force", func() bool { return table.HeardOf(5, 0, at(9)) }, false, 10, 0},
 		{"and of the next", func() bool { return table.HeardOf(6, 0, at(11)) }, true, 12, time.Second},
-		{"which comes", func() bool { _, err := table.Offer(6, []byte(rosterDocument)); return err != nil }, false, 13, 0},
-		{"of a roster alone", func() bool { return table.HeardOf(6, 4, at(14)) }, false, 16, 2 * time.Second},
+		{"which arrives", func() bool { _, err := table.Offer(6, []byte(rosterDocument)); return err != nil }, false, 13, 0},
+		{"another has a later roster only", func() bool { return table.HeardOf(6, 4, at(14)) }, false, 16, 2 * time.Second},
 		{"and a configuration", func() bool { return table.HeardOf(7, 4, at(17)) }, true, 18, 4 * time.Second},
-		{"the roster comes", func() bool {
+		{"the roster arrives", func() bool {
 			in, err := table.OfferRoster((&config.RosterList{Revision: 4}).Roster(), at(18))
 			return !in || err != nil
 		}, false, 19, 5 * time.Second},
@@ -180,8 +181,8 @@
 	}
 }
 
-// TestLayOut offers a roster of many endpoints again with something changed, which has to
-// be in force at once, whatever it is.
+// TestLayOut offers a large roster and then a changed one soon after it, and checks that every
+// kind of change is in force at once.
 func TestLayOut(t *testing.T) {
 	cases := []struct {
 		name      string
@@ -236,7 +237,7 @@
 				}
 			}
 			if board.Config.RosterRevision() != 6 {
-				t.Errorf("revision %d is told to others, want 6", board.Config.RosterRevision())
+				t.Errorf("revision %d is announced, want 6", board.Config.RosterRevision())
 			}
 		})
 	}
--- a/blackboard/domains.go
+++ b/blackboard/domains.go
@@ -5,38 +5,36 @@
 	"time"
 )
 
-// What makes a failure domain count as cut off.
+// Criteria by which a failure domain counts as cut off.
 const (
-	missedWithin = time.Second // of each other
-	missedLeast  = 2           // hosts or endpoints
-	cutOffFor    = 2 * time.Second
+	missWindow = time.Second // maximum time between the missed calls
+	minMissed  = 2           // minimum number of silent hosts or endpoints
+	cutOffFor  = 2 * time.Second
 )
 
-// DomainTable judges which failure domains this host is cut off from, by the
-// hosts and endpoints there that said nothing. One that is silent may be
-// frozen; several at once and nobody who answers are a cut. The own domain is
-// never judged.
+// DomainTable detects failure domains from which this host is cut off, by unanswered calls
+// to their hosts and endpoints. A single silent host or endpoint may be frozen; several at once,
+// with no answer from others, mean a cut. The own domain never counts as cut off.
 type DomainTable struct {
 	own string
 
 	mu   sync.Mutex
-	rows map[string]*reach
+	rows map[string]*reachability
 }
 
-// reach is what was seen of one failure domain since somebody there answered.
-type reach struct {
+// reachability holds the unanswered calls to one failure domain since its last answer.
+type reachability struct {
 	missed map[uint32]time.Time // by number of the host or endpoint
-	until  time.Time            // the domain counts as cut off
+	until  time.Time            // until when the domain counts as cut off
 }
 
 func newDomainTable(own string) *DomainTable {
-	return &DomainTable{own: own, rows: map[string]*reach{}}
+	return &DomainTable{own: own, rows: map[string]*reachability{}}
 }
 
-// Missed notes that a host or endpoint of a domain said nothing to a call. It
-// returns until when the domain counts as cut off, zero if it doesn't, and
-// whether that is news.
-func (t *DomainTable) Missed(domain string, number uint32, now time.Time) (until time.Time, news bool) {
+// Missed records that a host or endpoint of a domain didn't answer a call. It returns until
+// when the domain counts as cut off, zero if it doesn't, and whether it didn't before.
+func (t *DomainTable) Missed(domain string, number uint32, now time.Time) (until time.Time, changed bool) {
 	if domain == t.own {
 		return time.Time{}, false
 	}
@@ -44,25 +42,25 @@
 	defer t.mu.Unlock()
 	r := t.rows[domain]
 	if r == nil {
-		r = &reach{missed: map[uint32]time.Time{}}
+		r = &reachability{missed: map[uint32]time.Time{}}
 		t.rows[domain] = r
 	}
 	for n, at := range r.missed {
-		if now.Sub(at) > missedWithin {
+		if now.Sub(at) > missWindow {
 			delete(r.missed, n)
 		}
 	}
 	r.missed[number] = now
-	// While nobody has answered since the last time, one miss is enough.
-	if len(r.missed) >= missedLeast || !r.until.IsZero() {
-		news = r.until.IsZero()
+	// If nothing has answered since the last cut, one missed call is enough.
+	if len(r.missed) >= minMissed || !r.until.IsZero() {
+		changed = r.until.IsZero()
 		r.until = now.Add(cutOffFor)
 	}
-	return r.until, news
+	return r.until, changed
 }
 
-// Heard notes that somebody of a domain answered, and reports whether that is
-// news.
+// Heard records that a host or endpoint of a domain answered, and reports whether the domain
+// counted as cut off before.
 func (t *DomainTable) Heard(domain string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -82,8 +80,7 @@
 	return r != nil && now.Before(r.until)
 }
 
-// Lost returns the domains that counted as cut off and of which nobody has
-// answered since.
+// Lost returns the domains that were found cut off and have not answered since.
 func (t *DomainTable) Lost() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -96,22 +93,22 @@
 	return out
 }
 
-// Missed notes that a host or endpoint of a failure domain said nothing to a
-// call, and reports whether the domain counts as cut off from now on.
-func (b *Board) Missed(domain string, number uint32, now time.Time) (news bool) {
-	until, news := b.Domains.Missed(domain, number, now)
+// Missed records that a host or endpoint of a failure domain didn't answer a call, and reports
+// whether the domain counts as cut off from now on.
+func (b *Board) Missed(domain string, number uint32, now time.Time) (changed bool) {
+	until, changed := b.Domains.Missed(domain, number, now)
 	if !until.IsZero() {
 		b.Endpoints.SetCutOff(domain, until)
 	}
-	return news
+	return changed
 }
 
-// Heard notes that a host or endpoint of a failure domain answered a call, and
-// reports whether the domain counted as cut off until now.
-func (b *Board) Heard(domain string) (news bool) {
-	news = b.Domains.Heard(domain)
-	if news {
+// Heard records that a host or endpoint of a failure domain answered a call, and reports
+// whether the domain counted as cut off until now.
+func (b *Board) Heard(domain string) (changed bool) {
+	changed = b.Domains.Heard(domain)
+	if changed {
 		b.Endpoints.SetCutOff(domain, time.Time{})
 	}
-	return news
+	return changed
 }
--- a/blackboard/domains_test.go
+++ b/blackboard/domains_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestDomains plays who answered and who didn't, and states whether a domain
-// counts as cut off at the end.
+// TestDomains applies sequences of answered and missed calls, and checks whether a domain counts
+// as cut off at the end.
 func TestDomains(t *testing.T) {
 	const a, b = 1, 2 // hosts or endpoints
 	second := func(s float64) time.Time { return start.Add(time.Duration(s * float64(time.Second))) }
@@ -16,24 +16,24 @@
 		at   float64
 		want bool
 	}{
-		{"nothing was seen", func(*DomainTable) {}, 0, false},
-		{"one says nothing, again and again", func(d *DomainTable) { d.Missed("x", a, second(0)); d.Missed("x", a, second(0.5)) }, 0.6, false},
-		{"two say nothing", func(d *DomainTable) { d.Missed("x", a, second(0)); d.Missed("x", b, second(0.5)) }, 0.6, true},
-		{"two, long after each other", func(d *DomainTable) { d.Missed("x", a, second(0)); d.Missed("x", b, second(1.5)) }, 1.6, false},
-		{"somebody answers between them", func(d *DomainTable) {
+		{"no calls", func(*DomainTable) {}, 0, false},
+		{"one is silent repeatedly", func(d *DomainTable) { d.Missed("x", a, second(0)); d.Missed("x", a, second(0.5)) }, 0.6, false},
+		{"two are silent", func(d *DomainTable) { d.Missed("x", a, second(0)); d.Missed("x", b, second(0.5)) }, 0.6, true},
+		{"two are silent at different times", func(d *DomainTable) { d.Missed("x", a, second(0)); d.Missed("x", b, second(1.5)) }, 1.6, false},
+		{"an answer in between", func(d *DomainTable) {
 			d.Missed("x", a, second(0))
 			d.Heard("x")
 			d.Missed("x", b, second(0.5))
 		}, 0.6, false},
-		{"somebody answers afterwards", func(d *DomainTable) {
+		{"an answer afterwards", func(d *DomainTable) {
 			d.Missed("x", a, second(0))
 			d.Missed("x", b, second(0.5))
 			d.Heard("x")
 		}, 0.6, false},
-		{"of different domains", func(d *DomainTable) { d.Missed("x", a, second(0)); d.Missed("y", b, second(0.5)) }, 0.6, false},
+		{"two of different domains", func(d *DomainTable) { d.Missed("x", a, second(0)); d.Missed("y", b, second(0.5)) }, 0.6, false},
 		{"the own domain", func(d *DomainTable) { d.Missed("self", a, second(0)); d.Missed("self", b, second(0.5)) }, 0.6, false},
-		{"it is tried again after a while", func(d *DomainTable) { d.Missed("x", a, second(0)); d.Missed("x", b, second(0.5)) }, 3, false},
-		{"and one more miss is enough then", func(d *DomainTable) {
+		{"the cut expires", func(d *DomainTable) { d.Missed("x", a, second(0)); d.Missed("x", b, second(0.5)) }, 3, false},
+		{"one more miss after it has expired", func(d *DomainTable) {
 			d.Missed("x", a, second(0))
 			d.Missed("x", b, second(0.5))
 			d.Missed("x", b, second(3))
@@ -44,7 +44,7 @@
 			d := newDomainTable("self")
 			tc.play(d)
 			if lost := len(d.Lost()) > 0; tc.want && !lost {
-				t.Error("a domain that is cut off is not among the lost ones")
+				t.Error("a domain that is cut off is not listed as lost")
 			}
 			for _, domain := range []string{"x", "self"} {
 				want := tc.want && domain == "x"
--- a/blackboard/endpoints.go
+++ b/blackboard/endpoints.go
@@ -10,7 +10,7 @@
 	"github.com/embercove/embercove/route"
 )
 
-// EndpointTable holds what is known of endpoints, ready for route to decide from.
+// EndpointTable holds the known state of endpoints for routing decisions.
 type EndpointTable struct {
 	mu    sync.RWMutex
 	fleet *route.Fleet
@@ -18,30 +18,29 @@
 
 func newEndpointTable() *EndpointTable { return &EndpointTable{fleet: route.NewFleet(nil)} }
 
-// Fit goes on to another view, keeping what is known of endpoints that stay.
+// Fit switches to another view and keeps the state of endpoints that are in both.
 func (t *EndpointTable) Fit(v *config.View) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.fleet.Fit(v, time.Now())
 }
 
-// Learn takes in a digest that was age old when it came; the fresher one
-// stays. It reports whether the digest was taken.
+// Learn stores a digest, whose AgeMillis is its age on arrival, unless a fresher one is known.
+// It reports whether the digest was stored.
 func (t *EndpointTable) Learn(d route.Digest, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.fleet.Learn(d, now)
 }
 
-// Read calls f with the fleet. f must not keep or change its states; it may be
-// called by many at once.
+// Read calls f with the fleet. f must not keep or change its states, and may run concurrently.
 func (t *EndpointTable) Read(f func(fleet *route.Fleet)) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	f(t.fleet)
 }
 
-// Find calls f with the state of an endpoint, if there is one. f must not keep or change it.
+// Find calls f with the state of an endpoint, if it exists. f must not keep or change it.
 func (t *EndpointTable) Find(number uint32, f func(v *config.View, s *route.State)) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -50,7 +49,8 @@
 	}
 }
 
-// Touch changes one state, for what this host itself has just sent.
+// Touch calls f to update the state of an endpoint, for what this host itself has just sent
+// or received.
 func (t *EndpointTable) Touch(number uint32, f func(s *route.State)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -59,7 +59,7 @@
 	}
 }
 
-// Hear takes in what an answer of an endpoint said of its limit, and returns what that changes.
+// Hear records the limit that an endpoint named in a response, and returns what it changes.
 // now is by package clock.
 func (t *EndpointTable) Hear(number uint32, now time.Time, w pace.Word) (c pace.Change) {
 	t.Touch(number, func(s *route.State) {
@@ -72,45 +72,46 @@
 	return c
 }
 
-// Notice takes in what an answer of an endpoint said of it, besides its limit.
+// Notice records the other notices in an endpoint's response, besides its limit.
 func (t *EndpointTable) Notice(number uint32, n route.Notice) (c route.NoticeChange) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.fleet.Hear(number, n)
 }
 
-// Admit reports whether a call may be made to an endpoint, as far as it asked this host for rest.
+// Admit reports whether a call may be made to an endpoint, considering the backoff that it asked
+// this host for.
 func (t *EndpointTable) Admit(number uint32, now time.Time) bool {
 	admitted := true
 	t.Touch(number, func(s *route.State) { admitted = s.Notices.Admit(now) })
 	return admitted
 }
 
-// SetCutOff sets until when a failure domain's endpoints are out of the
-// question; the zero time ends it.
+// SetCutOff excludes the endpoints of a failure domain until a time; the zero time includes
+// them again.
 func (t *EndpointTable) SetCutOff(domain string, until time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.fleet.SetCutOff(domain, until, time.Now())
 }
 
-// SetOwn notes whether this host owns an endpoint.
+// SetOwn records whether this host owns an endpoint.
 func (t *EndpointTable) SetOwn(number uint32, own bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.fleet.SetOwn(number, own)
 }
 
-// Wanted says which digests are asked for.
+// Wanted selects digests.
 type Wanted struct {
-	Domain  string        // of this failure domain; empty: of all
-	MaxAge  time.Duration // younger than this
-	Most    int           // so many at the most, each with the same chance
+	Domain  string        // only of this failure domain; empty: of all
+	MaxAge  time.Duration // only digests no older than this
+	Most    int           // maximum number, drawn uniformly at random
 	Lacking func(number, ageMillis uint32) bool
 }
 
-// Digests returns digests with their age. It looks at the endpoints of the failure domain
-// alone, and takes no room for those that aren't drawn.
+// Digests returns the selected digests with their age. It scans only the endpoints of the
+// failure domain, and allocates nothing for digests that aren't drawn.
 func (t *EndpointTable) Digests(now time.Time, w Wanted) []route.Digest {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -140,7 +141,7 @@
 	return out
 }
 
-// Drop forgets every digest, after a pause of the process.
+// Drop discards all digests, after a pause of the process.
 func (t *EndpointTable) Drop() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/blackboard/evacuations.go
+++ b/blackboard/evacuations.go
@@ -9,22 +9,22 @@
 	"github.com/embercove/embercove/config"
 )
 
-// EvacuationTable tells operators since when failure domains are known here to be
-// emptied. What binds requests is the view in use; nothing is decided from this table.
+// EvacuationTable records since when evacuations are in force on this host, for operators.
+// Requests are bound by the view in use; no decision uses this table.
 type EvacuationTable struct {
 	mu   sync.Mutex
 	rows map[string]EvacuationRow
 }
 
-// EvacuationRow is a failure domain that is being emptied.
+// EvacuationRow is a failure domain that is evacuated.
 type EvacuationRow struct {
 	config.Evacuation
-	Since time.Time // in force here
-	From  string    // the store, or the peer that told
+	Since time.Time // when it came into force here
+	From  string    // the store, or the peer that sent it
 }
 
-// Note takes in the evacuations of a view that came into force, told by from. It returns
-// those that began and those that ended with it, by failure domain.
+// Note records the evacuations of a view that came into force, received from the given source.
+// It returns those that began and those that ended with it, ordered by failure domain.
 func (t *EvacuationTable) Note(v *config.View, from string, now time.Time) (began, ended []EvacuationRow) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -49,7 +49,7 @@
 	return began, ended
 }
 
-// List returns the failure domains that are being emptied, by name.
+// List returns the evacuated failure domains, ordered by name.
 func (t *EvacuationTable) List() []EvacuationRow {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/blackboard/heard.go
+++ b/blackboard/heard.go
@@ -4,61 +4,61 @@
 	"time"
 )
 
-// Heard notes that what is known here is what the platform answered at a moment.
+// Heard records that the state of this host matches an answer that the platform gave at a time.
 func (t *ConfigTable) Heard(at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if at.After(t.heard) {
-		t.heard = at
+	if at.After(t.platformAnsweredAt) {
+		t.platformAnsweredAt = at
 	}
 }
 
-// Older notes that what is known is older than it seems by some time, in which the machine
-// was suspended. Without it a host that woke relied on others' word as if it were fresh.
+// Older increases the age of what is known by the time in which the machine was suspended.
+// Without it a resumed host treated reports of other hosts as if they were fresh.
 func (t *ConfigTable) Older(d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, at := range []*time.Time{&t.heard, &t.told} {
+	for _, at := range []*time.Time{&t.platformAnsweredAt, &t.reportedAnswerAt} {
 		if !at.IsZero() {
 			*at = at.Add(-d)
 		}
 	}
 }
 
-// Told notes that another host, whose knowledge this one has, told of an answer that the
-// platform gave at a moment, to it or to one that it heard of it from.
+// Told records that another host with the same state reported an answer that the platform gave
+// at a time, to that host or to one from which it received the report.
 func (t *ConfigTable) Told(at time.Time) {
 	t.Heard(at)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if at.After(t.told) {
-		t.told = at
+	if at.After(t.reportedAnswerAt) {
+		t.reportedAnswerAt = at
 	}
 }
 
-// ToldWithin reports whether other hosts told of an answer of the platform that is no
-// older than d.
+// ToldWithin reports whether other hosts reported an answer of the platform that is younger
+// than d.
 func (t *ConfigTable) ToldWithin(now time.Time, d time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return now.Sub(t.told) < d
+	return now.Sub(t.reportedAnswerAt) < d
 }
 
-// HeardFor returns how long ago the platform last answered, and whether it ever did.
+// HeardFor returns the time since the platform last answered, and whether it ever did.
 func (t *ConfigTable) HeardFor(now time.Time) (ago time.Duration, ever bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return now.Sub(t.heard), !t.heard.IsZero()
+	return now.Sub(t.platformAnsweredAt), !t.platformAnsweredAt.IsZero()
 }
 
 // HeardWithin reports whether the platform answered within d.
 func (t *ConfigTable) HeardWithin(now time.Time, d time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return !t.heard.IsZero() && now.Sub(t.heard) < d
+	return !t.platformAnsweredAt.IsZero() && now.Sub(t.platformAnsweredAt) < d
 }
 
-// ConfigStatus is what operators see of the configuration of one host.
+// ConfigStatus is the configuration status of one host, as shown to operators.
 type ConfigStatus struct {
 	Revision       uint64    `json:"revision"`
 	Since          time.Time `json:"since"`
@@ -68,13 +68,13 @@
 	PlatformSilent float64   `json:"platform_silent_s"`
 }
 
-// Status returns what operators see.
+// Status returns the status shown to operators.
 func (t *ConfigTable) Status(now time.Time) ConfigStatus {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := ConfigStatus{Revision: t.Revision(), Since: t.since, Rejected: t.rejected, Cause: t.cause, PlatformHeard: t.heard, PlatformSilent: -1}
-	if !t.heard.IsZero() {
-		s.PlatformSilent = now.Sub(t.heard).Seconds()
+	s := ConfigStatus{Revision: t.Revision(), Since: t.inForceSince, Rejected: t.rejected, Cause: t.rejectedCause, PlatformHeard: t.platformAnsweredAt, PlatformSilent: -1}
+	if !t.platformAnsweredAt.IsZero() {
+		s.PlatformSilent = now.Sub(t.platformAnsweredAt).Seconds()
 	}
 	return s
 }
--- a/blackboard/hosts.go
+++ b/blackboard/hosts.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Host is what is known of one entry host.
+// Host is the known state of one entry host.
 type Host struct {
 	Name        string
 	Number      uint32
@@ -17,20 +17,20 @@
 	Region      string
 	Peers       string // address of its net/rpc listener
 	Incarnation uint64
-	Beat        uint64 // heartbeats of this incarnation
+	Beat        uint64 // number of heartbeats of this incarnation
 	Leaving     bool
-	Advanced    time.Time // when Beat was last seen to rise, by our clock
-	Accused     time.Time // when a watcher said that it is gone; zero: nobody does
-	Doubted     bool      // a call to it failed and no heartbeat came since
-	Noted       time.Time // when its incarnation was first heard of, or that it leaves
+	Advanced    time.Time // when Beat last rose, by this host's clock
+	Accused     time.Time // when a watcher reported it as gone; zero: none has
+	Doubted     bool      // a call to it failed and no heartbeat arrived since
+	Noted       time.Time // when its incarnation, or that it is leaving, first became known
 }
 
-// HostTable is the membership: who is live is judged by each process for
-// itself, from heartbeats that hosts hand on to each other.
+// HostTable is the membership table. Each process decides for itself which hosts are live, from
+// heartbeats that hosts forward to each other.
 type HostTable struct {
-	least   time.Duration // silence allowed in a small fleet
-	suspect time.Duration
-	beat    time.Duration
+	minSuspect time.Duration // silence allowed in a small fleet
+	suspect    time.Duration
+	round      time.Duration
 
 	mu    sync.RWMutex
 	self  Host
@@ -38,12 +38,12 @@
 }
 
 func newHostTable(self Host, suspect, beat time.Duration) *HostTable {
-	t := &HostTable{least: suspect, suspect: suspect, beat: beat, self: self, hosts: map[uint32]*Host{}}
+	t := &HostTable{minSuspect: suspect, suspect: suspect, round: beat, self: self, hosts: map[uint32]*Host{}}
 	t.hosts[self.Number] = &t.self
 	return t
 }
 
-// Tick raises this host's own heartbeat.
+// Tick increments this host's own heartbeat.
 func (t *HostTable) Tick(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -51,18 +51,18 @@
 	t.self.Advanced = now
 }
 
-// SetRound sets the time between exchanges, by which silence is judged.
+// SetRound sets the time between exchanges, from which the allowed silence is computed.
 func (t *HostTable) SetRound(d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.suspect = max(t.least, suspectRounds*d)
-	t.beat = d
+	t.suspect = max(t.minSuspect, suspectRounds*d)
+	t.round = d
 }
 
-// suspectRounds is how many rounds a host may be silent.
+// suspectRounds is the number of rounds for which a host may be silent.
 const suspectRounds = 5
 
-// SetLeaving marks this host as leaving, which takes its endpoints from it.
+// SetLeaving marks this host as leaving, so that its endpoints move to other owners.
 func (t *HostTable) SetLeaving() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -78,15 +78,15 @@
 	return t.self
 }
 
-// Learn takes in what a peer or the platform says of a host. A row from the
-// platform's list has no incarnation and proves no life. Learn reports
-// whether the row changed what decisions are made from.
+// Learn merges a row about a host received from a peer or from the platform. A row from the
+// platform's list has no incarnation and doesn't show that the host is live. Learn reports
+// whether anything changed that decisions depend on.
 func (t *HostTable) Learn(h Host, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if h.Number == t.self.Number {
-		// A predecessor whose clock was ahead: outrank it, or the others
-		// would take this process for older than the one that is gone.
+		// The previous process on this host had a clock that was ahead. Use a higher
+		// incarnation, or other hosts would take this process for the older one.
 		if h.Incarnation > t.self.Incarnation {
 			t.self.Incarnation = h.Incarnation + 1
 		}
@@ -118,8 +118,8 @@
 	return changed
 }
 
-// ListedLeaving marks a host that the platform lists as leaving. The list
-// lags, so the host's own word under a later incarnation overrides it.
+// ListedLeaving marks a host that the platform lists as leaving. The list lags, so a heartbeat
+// with a later incarnation overrides it.
 func (t *HostTable) ListedLeaving(number uint32, incarnation uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -128,9 +128,8 @@
 	}
 }
 
-// Doubt notes that a call to the host failed. A doubted host is passed over
-// until its heartbeat rises again, so that a frozen one costs one time-out
-// and not one for each request.
+// Doubt records that a call to the host failed. The host is then skipped until its heartbeat
+// rises again, so that a frozen host costs one timeout instead of one for each request.
 func (t *HostTable) Doubt(number uint32) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -139,8 +138,8 @@
 	}
 }
 
-// Answered notes that a host has just answered a call of this one, which ends a
-// doubt. Its own heartbeat may be long under way where there are many hosts.
+// Answered records that a host has just answered a call of this one, which confirms it again.
+// With many hosts its heartbeat may take long to arrive.
 func (t *HostTable) Answered(number uint32) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -149,21 +148,20 @@
 	}
 }
 
-// limit is the silence after which a host counts as gone. News travels by
-// way of other hosts in a number of rounds that grows with the logarithm of
-// their number.
-func (t *HostTable) limit() time.Duration {
-	return t.suspect + t.beat*time.Duration(bits.Len(uint(len(t.hosts)))/2)
+// silenceLimit returns the silence after which a host counts as gone. Heartbeats are forwarded by
+// other hosts and take a number of rounds that grows with the logarithm of the number of hosts.
+func (t *HostTable) silenceLimit() time.Duration {
+	return t.suspect + t.round*time.Duration(bits.Len(uint(len(t.hosts)))/2)
 }
 
 func (t *HostTable) live(h *Host, now time.Time) bool {
-	return h.Number == t.self.Number || h.Accused.IsZero() && now.Sub(h.Advanced) <= t.limit()
+	return h.Number == t.self.Number || h.Accused.IsZero() && now.Sub(h.Advanced) <= t.silenceLimit()
 }
 
-// Accuse takes in that a watcher could not reach a host, which can have sent no
-// heartbeat after the one given. A later one clears the host again; earlier ones
-// that still come by way of others don't. It reports whether this is news; of this
-// host itself it never is, but its heartbeat jumps, so that the others learn better.
+// Accuse records that a watcher could not reach a host whose last known heartbeat is beat. A
+// later heartbeat clears the host again; earlier ones that still arrive by way of other hosts
+// don't. It reports whether the host was not suspected before. If this host itself is
+// suspected, its heartbeat jumps past beat, which clears it at the other hosts.
 func (t *HostTable) Accuse(number uint32, incarnation, beat uint64, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -181,7 +179,7 @@
 	return true
 }
 
-// Accused returns the hosts that were accused lately.
+// Accused returns the hosts that became suspected within the time lately.
 func (t *HostTable) Accused(now time.Time, lately time.Duration) []Host {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -194,8 +192,8 @@
 	return out
 }
 
-// Watched returns the hosts that this host watches: the next ones of its
-// domain in a ring of the live hosts. Each host is watched by as many.
+// Watched returns the hosts that this host watches: the next n in a ring of the live hosts of
+// its domain. Each host is watched by n others.
 func (t *HostTable) Watched(n int, now time.Time) []Host {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -205,7 +203,7 @@
 			ring = append(ring, *h)
 		}
 	}
-	// Distance around the ring of numbers, from this host on.
+	// Order by distance from this host around the ring of numbers.
 	slices.SortFunc(ring, func(a, b Host) int { return cmp.Compare(a.Number-t.self.Number, b.Number-t.self.Number) })
 	return ring[:min(n, len(ring))]
 }
@@ -221,9 +219,9 @@
 	return *row, t.live(row, now), true
 }
 
-// Each calls f with every known host and whether it is live, in no order. f must
-// not call the table. It copies no table, which List does, as it is called often and
-// there may be hundreds of hosts.
+// Each calls f with every known host and whether it is live, in no particular order. f must not
+// call the table. Unlike List it copies nothing, because it is called often and there may be
+// hundreds of hosts.
 func (t *HostTable) Each(now time.Time, f func(h *Host, live bool)) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -232,7 +230,7 @@
 	}
 }
 
-// Len returns how many hosts are known.
+// Len returns the number of known hosts.
 func (t *HostTable) Len() int {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -251,15 +249,15 @@
 	return out
 }
 
-// Live reports whether a row that List returned counts as live.
+// Live reports whether a host returned by List counts as live.
 func (t *HostTable) Live(h Host, now time.Time) bool {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return t.live(&h, now)
 }
 
-// Forget drops hosts that have been silent for so long that nothing refers
-// to them any more, and that the platform doesn't list.
+// Forget drops hosts that the platform doesn't list and that have been silent for so long that
+// nothing refers to them any more.
 func (t *HostTable) Forget(now time.Time, silence time.Duration, listed func(number uint32) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -270,8 +268,8 @@
 	}
 }
 
-// Renew treats every host as just heard from. It is called after a pause of
-// this process: that nothing was heard then says nothing about the others.
+// Renew treats every host as if its heartbeat had just arrived. It is called after a pause of
+// this process, in which silence says nothing about the other hosts.
 func (t *HostTable) Renew(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/blackboard/hosts_test.go
+++ b/blackboard/hosts_test.go
@@ -22,8 +22,8 @@
 	return t
 }
 
-// TestHosts plays what is heard of a host, one step a line, and states
-// whether it is live and owns endpoints at the end.
+// TestHosts applies sequences of heartbeats and reports about a host, and checks whether it is
+// live and owns endpoints at the end.
 func TestHosts(t *testing.T) {
 	x := request.HostNumber("x")
 	cases := []struct {
@@ -31,48 +31,48 @@
 		play       func(h *HostTable)
 		live, owns bool
 	}{
-		{"heard just now", func(*HostTable) {}, true, true},
+		{"heartbeat just now", func(*HostTable) {}, true, true},
 		{"silent", func(h *HostTable) { h.Learn(hostNamed("x", 5, 1), start.Add(9*time.Second)) }, false, false},
-		{"beats on", func(h *HostTable) { h.Learn(hostNamed("x", 5, 9), start.Add(9*time.Second)) }, true, true},
-		{"an old incarnation speaks", func(h *HostTable) { h.Learn(hostNamed("x", 4, 99), start.Add(9*time.Second)) }, false, false},
+		{"heartbeat continues", func(h *HostTable) { h.Learn(hostNamed("x", 5, 9), start.Add(9*time.Second)) }, true, true},
+		{"heartbeat of an old incarnation", func(h *HostTable) { h.Learn(hostNamed("x", 4, 99), start.Add(9*time.Second)) }, false, false},
 		{"restarted", func(h *HostTable) { h.Learn(hostNamed("x", 6, 1), start.Add(9*time.Second)) }, true, true},
 		{"listed by the platform only", func(h *HostTable) { h.Learn(Host{Name: "x", Number: x, Domain: "a"}, start.Add(9*time.Second)) }, false, false},
-		{"doubted: another stands in", func(h *HostTable) { h.Doubt(x) }, true, false},
-		{"doubted, and then heard of", func(h *HostTable) {
+		{"unconfirmed: replaced by another", func(h *HostTable) { h.Doubt(x) }, true, false},
+		{"unconfirmed, then a heartbeat", func(h *HostTable) {
 			h.Doubt(x)
 			h.Learn(hostNamed("x", 5, 20), start.Add(9*time.Second))
 		}, true, true},
-		{"leaving by its own word", func(h *HostTable) {
+		{"leaving by its own heartbeat", func(h *HostTable) {
 			l := hostNamed("x", 5, 20)
 			l.Leaving = true
 			h.Learn(l, start.Add(9*time.Second))
 		}, true, false},
-		{"leaving by the list", func(h *HostTable) {
+		{"leaving by the platform's list", func(h *HostTable) {
 			h.Learn(hostNamed("x", 5, 20), start.Add(9*time.Second))
 			h.ListedLeaving(x, 5)
 		}, true, false},
-		{"restarted after the list said leaving", func(h *HostTable) {
+		{"restarted after being listed as leaving", func(h *HostTable) {
 			h.ListedLeaving(x, 5)
 			h.Learn(hostNamed("x", 6, 1), start.Add(9*time.Second))
 		}, true, true},
-		{"accused, and an earlier heartbeat comes by way of others", func(h *HostTable) {
+		{"suspected, then an earlier heartbeat by way of others", func(h *HostTable) {
 			h.Learn(hostNamed("x", 5, 20), start.Add(9*time.Second))
 			h.Accuse(x, 5, 24, start.Add(9*time.Second))
 			h.Learn(hostNamed("x", 5, 23), start.Add(9*time.Second))
 		}, false, false},
-		{"accused, and it beats on", func(h *HostTable) {
+		{"suspected, then a later heartbeat", func(h *HostTable) {
 			h.Learn(hostNamed("x", 5, 20), start.Add(9*time.Second))
 			h.Accuse(x, 5, 24, start.Add(9*time.Second))
 			h.Learn(hostNamed("x", 5, 25), start.Add(9*time.Second))
 		}, true, true},
-		{"we were paused", func(h *HostTable) { h.Renew(start.Add(9 * time.Second)) }, true, true},
+		{"this host was paused", func(h *HostTable) { h.Renew(start.Add(9 * time.Second)) }, true, true},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			h := testHosts("x")
 			tc.play(h)
 			at := start
-			if tc.name != "heard just now" && tc.name != "doubted: another stands in" {
+			if tc.name != "heartbeat just now" && tc.name != "unconfirmed: replaced by another" {
 				at = start.Add(10 * time.Second)
 			}
 			_, live, _ := h.Get(x, at)
@@ -89,8 +89,8 @@
 	}
 }
 
-// TestOwnership checks that hosts with the same view agree, that the load is
-// even, and that a host's end moves only what it owned.
+// TestOwnership checks that First and Order agree, that ownership is spread evenly, and that only
+// the keys of a leaving host move.
 func TestOwnership(t *testing.T) {
 	names := []string{"b", "c", "d", "e", "f", "g"}
 	h := testHosts(names...)
@@ -120,7 +120,7 @@
 	}
 }
 
-// TestPause checks that a gap is noticed once and drops beliefs.
+// TestPause checks that a gap is detected exactly once and runs the functions of OnWake.
 func TestPause(t *testing.T) {
 	p := NewPause(50 * time.Millisecond)
 	dropped := 0
@@ -128,7 +128,7 @@
 	time.Sleep(2 * time.Millisecond)
 	p.tick()
 	if p.Check() {
-		t.Error("a pause was noticed without one")
+		t.Error("a pause was detected without one")
 	}
 	time.Sleep(80 * time.Millisecond) // the ticker doesn't run
 	if !p.Check() || p.Check() || dropped != 1 {
@@ -151,32 +151,32 @@
 	}
 }
 
-// TestSteady checks that a doubt, which each host has for itself, changes who
-// serves and not who may order.
+// TestSteady checks that an unconfirmed host is replaced as owner, but not as the host that may
+// send orders: hosts disagree on who is unconfirmed, and two of them must not order one runner.
 func TestSteady(t *testing.T) {
 	h := testHosts("x", "y", "z")
 	for key := range uint64(50) {
 		before, _ := h.First(key, "a", start)
 		steady, _ := h.FirstSteady(key, "a", start)
 		if before.Number != steady.Number {
-			t.Fatalf("key %d: %s serves and %s orders, without any doubt", key, before.Name, steady.Name)
+			t.Fatalf("key %d: %s serves and %s orders, with no host unconfirmed", key, before.Name, steady.Name)
 		}
 	}
 	members, all := h.Members(start), h.Fingerprint(start)
 	h.Doubt(request.HostNumber("x"))
 	if h.Members(start) != members {
-		t.Error("a doubt changes the members")
+		t.Error("an unconfirmed host changes the members")
 	}
 	if h.Fingerprint(start) == all {
-		t.Error("a doubt changes nothing for those who serve")
+		t.Error("an unconfirmed host doesn't change the fingerprint")
 	}
 	for key := range uint64(50) {
 		if first, _ := h.First(key, "a", start); first.Name == "x" {
-			t.Fatalf("key %d is served by a doubted host", key)
+			t.Fatalf("key %d is served by an unconfirmed host", key)
 		}
 	}
 	h.Accuse(request.HostNumber("x"), 5, 1, start)
 	if h.Members(start) == members {
-		t.Error("a host that is gone leaves the members as they were")
+		t.Error("a host that is gone doesn't change the members")
 	}
 }
--- a/blackboard/keys.go
+++ b/blackboard/keys.go
@@ -7,19 +7,19 @@
 	"github.com/embercove/embercove/request"
 )
 
-// KeyState is what became of a request with an idempotency key.
+// KeyState is the state of a request with an idempotency key.
 type KeyState uint8
 
 // The states of a key.
 const (
-	KeyNew      KeyState = iota // not seen; the asker now holds it
+	KeyNew      KeyState = iota // not seen before; the caller now holds the key
 	KeyRunning                  // its request is in progress
 	KeyAnswered                 // its request was answered
 	KeyUnknown                  // its request may have run
 	KeyMismatch                 // used before with another body
 )
 
-// KeyRecord is what a key owner remembers.
+// KeyRecord is a key owner's record of an idempotency key.
 type KeyRecord struct {
 	Key   uint64 // hash of team and key
 	Body  uint64 // hash of the body
@@ -28,8 +28,8 @@
 	At    time.Time
 }
 
-// KeyTable remembers idempotency keys for a while. What it has not seen it
-// can vouch for only since its tenure began.
+// KeyTable remembers idempotency keys for a limited time. That a key is absent means that it
+// was not used only since the table's tenure began.
 type KeyTable struct {
 	mu    sync.Mutex
 	rows  map[uint64]KeyRecord
@@ -38,8 +38,8 @@
 
 func newKeyTable() *KeyTable { return &KeyTable{rows: map[uint64]KeyRecord{}, since: time.Now()} }
 
-// Begin looks a key up and, when it is new, records it as running for the
-// asker. The record that stands afterwards is returned.
+// Begin looks a key up and, if it is new, records it as running for the caller. It returns the
+// key's state and its resulting record.
 func (t *KeyTable) Begin(r KeyRecord, now time.Time) (KeyState, KeyRecord) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -55,15 +55,15 @@
 	return cur.State, cur
 }
 
-// Adopt takes over a record that the other holder of the key has.
+// Adopt stores a record received from the other holder of the key.
 func (t *KeyTable) Adopt(r KeyRecord) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.rows[r.Key] = r
 }
 
-// End notes what became of a key's request; KeyNew forgets the key, because
-// the request didn't run.
+// End records the final state of a key's request. KeyNew drops the key, because the request
+// didn't run.
 func (t *KeyTable) End(key uint64, id request.ID, s KeyState, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -79,7 +79,7 @@
 	t.rows[key] = cur
 }
 
-// Sweep forgets old records and marks those whose holder is gone as unknown.
+// Sweep drops old records and marks running ones whose holder is gone as unknown.
 func (t *KeyTable) Sweep(now time.Time, keep time.Duration, gone func(id request.ID) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -94,23 +94,22 @@
 	}
 }
 
-// Tenure returns how long the table has seen every key that it was asked
-// about.
+// Tenure returns for how long the table has seen every use of the keys that it is responsible for.
 func (t *KeyTable) Tenure(now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return now.Sub(t.since)
 }
 
-// Restart begins a new tenure, after a pause in which keys may have gone to
-// another owner. What is remembered stays true.
+// Restart begins a new tenure, after a pause in which another owner may have taken keys. Existing
+// records stay valid.
 func (t *KeyTable) Restart(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.since = now
 }
 
-// Len returns the number of keys remembered.
+// Len returns the number of recorded keys.
 func (t *KeyTable) Len() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/blackboard/lapsed.go
+++ b/blackboard/lapsed.go
@@ -6,34 +6,35 @@
 	"github.com/embercove/embercove/config"
 )
 
-// lapsedAt returns since when, by this process's clock, an endpoint is without its
-// registration: from now on if it had one, and for too long if it wasn't known, unless
-// nothing was. The caller holds the lock.
-func (t *ConfigTable) lapsedAt(was *config.Endpoint, now time.Time) time.Time {
+// expiredSince returns since when, by this process's clock, the registration of an endpoint has
+// been expired. That is now if it was valid until now. An endpoint that isn't on this host's
+// roster counts as past its grace period; a host without a roster accepts it. The caller holds
+// the lock.
+func (t *ConfigTable) expiredSince(known *config.Endpoint, now time.Time) time.Time {
 	switch {
-	case was == nil && t.roster != nil:
+	case known == nil && t.roster != nil:
 		return now.Add(-2 * config.LapsedKept)
-	case was == nil || was.Lapsed.IsZero():
+	case known == nil || known.Lapsed.IsZero():
 		return now
 	}
-	return was.Lapsed
+	return known.Lapsed
 }
 
-// DropLapsed drops endpoints that have been without a registration for too
-// long, and evacuations that were kept for long without being published again. It reports how
-// many there were of each.
+// DropLapsed drops endpoints whose registrations expired longer ago than the grace period, and
+// evacuations that were kept for too long without being published again. It returns the number
+// of each.
 func (t *ConfigTable) DropLapsed(now time.Time) (endpoints, evacuations int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	expired := t.lapsed.Expired(now)
+	dropped := t.expired.Expired(now)
 	evacuations = t.kept.expire(now)
-	if len(expired)+evacuations == 0 {
+	if len(dropped)+evacuations == 0 {
 		return 0, 0
 	}
 	kept := *t.roster
-	for _, e := range expired {
+	for _, e := range dropped {
 		kept.Endpoints = config.Remove(kept.Endpoints, e.Name)
 	}
 	t.useRoster(&kept)
-	return len(expired), evacuations
+	return len(dropped), evacuations
 }
--- a/blackboard/pause_test.go
+++ b/blackboard/pause_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestRanSince holds a process up for less time than a pause takes, and states since when
-// it is known to have run.
+// TestRanSince holds a process up for less time than a pause, and checks since when it counts as
+// having run.
 func TestRanSince(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const limit = 1600 * time.Millisecond // a tick each 200 ms
@@ -24,7 +24,7 @@
 				t.Errorf("%s: ran for %s: %v, want %v", what, ago, got, want)
 			}
 		}
-		check("just begun", time.Second, true)
+		check("just started", time.Second, true)
 		tick(10)
 		check("steady", time.Second, true)
 		time.Sleep(700 * time.Millisecond)
@@ -33,16 +33,16 @@
 		check("after the tick", 100*time.Millisecond, false)
 		tick(5)
 		check("a second later", 900*time.Millisecond, true)
-		check("from before on", 1100*time.Millisecond, false)
+		check("since before the gap", 1100*time.Millisecond, false)
 		if p.Count() != 0 {
-			t.Error("that counts as a pause")
+			t.Error("the gap counts as a pause")
 		}
 	})
 }
 
-// TestSuspended suspends the machine: the steady clock stands still meanwhile. A process that
-// ran all the while by that clock has been away, and drops its beliefs; for less time than a
-// pause takes it has been held up.
+// TestSuspended simulates a suspended machine, during which the monotonic clock stands still. By
+// that clock the process ran all the time. A long suspension must count as a pause, and one that
+// is shorter than a pause must count as being held up.
 func TestSuspended(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const limit = 1600 * time.Millisecond
@@ -59,7 +59,7 @@
 		tick(10)
 		suspended += 700 * time.Millisecond
 		if p.RanSince(time.Now().Add(-100 * time.Millisecond)) {
-			t.Error("ran all the while, with the machine suspended for 0.7 s")
+			t.Error("counts as running all the time, with the machine suspended for 0.7 s")
 		}
 		if tick(1); woke > 0 {
 			t.Error("0.7 s count as a pause")
@@ -70,10 +70,10 @@
 		}
 		suspended += 10 * time.Second
 		if !p.Check() || woke != 1 || p.Count() != 1 {
-			t.Errorf("%d pauses were noticed, %d times beliefs were dropped, with the machine suspended for 10 s", p.Count(), woke)
+			t.Errorf("%d pauses detected, OnWake ran %d times, with the machine suspended for 10 s", p.Count(), woke)
 		}
 		if p.Check() {
-			t.Error("noticed twice")
+			t.Error("detected twice")
 		}
 	})
 }
--- a/blackboard/pool.go
+++ b/blackboard/pool.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Controller acts on the tables. Next hands out one piece of work that is
-// due, already claimed so that no other worker gets it, or says when to ask
-// again; a zero time means not before a table changes. Next must not block.
+// Controller acts on the tables. Next returns one piece of work that is due, already claimed so
+// that no other worker gets it, or the time to ask again; a zero time means not before a table
+// changes. Next must not block.
 type Controller interface {
 	Next(now time.Time) (work func(ctx context.Context), again time.Time)
 }
 
-// Wake tells waiting workers that a table changed.
+// Wake notifies waiting workers that a table changed.
 type Wake struct {
 	mu sync.Mutex
 	ch chan struct{}
@@ -44,7 +44,7 @@
 	wg    sync.WaitGroup
 }
 
-// NewPool returns a pool over the controllers; earlier ones go first.
+// NewPool returns a pool for the controllers; earlier ones have priority.
 func NewPool(b *Board, ctrls ...Controller) *Pool {
 	return &Pool{wake: b.Wake, pause: b.Pause, ctrls: ctrls}
 }
@@ -67,7 +67,7 @@
 // Wait returns when every worker has ended.
 func (p *Pool) Wait() { p.wg.Wait() }
 
-// ticksInLimit is how often the pause mark moves within the limit.
+// ticksInLimit is the number of ticks within the pause limit.
 const ticksInLimit = 8
 
 func (p *Pool) tick(ctx context.Context) {
@@ -84,21 +84,21 @@
 	}
 }
 
-// maxRest bounds how long a worker waits without asking again.
-const maxRest = time.Second
+// maxIdle is the maximum time a worker waits before it asks the controllers again.
+const maxIdle = time.Second
 
 func (p *Pool) work(ctx context.Context) {
-	timer := time.NewTimer(maxRest)
+	timer := time.NewTimer(maxIdle)
 	defer timer.Stop()
 	for ctx.Err() == nil {
 		p.pause.Check()
 		changed := p.wake.Wait()
-		work, rest := p.next()
+		work, idle := p.next()
 		if work != nil {
 			work(ctx)
 			continue
 		}
-		timer.Reset(rest)
+		timer.Reset(idle)
 		select {
 		case <-ctx.Done():
 		case <-changed:
@@ -107,23 +107,23 @@
 	}
 }
 
-// next returns due work, or how long to rest.
+// next returns work that is due, or how long to wait.
 func (p *Pool) next() (func(context.Context), time.Duration) {
 	now := time.Now()
-	rest := maxRest
+	idle := maxIdle
 	for _, c := range p.ctrls {
 		work, again := c.Next(now)
 		if work != nil {
 			return work, 0
 		}
 		if !again.IsZero() {
-			rest = min(rest, max(again.Sub(now), time.Millisecond))
+			idle = min(idle, max(again.Sub(now), time.Millisecond))
 		}
 	}
-	return nil, rest
+	return nil, idle
 }
 
-// Every returns a controller that runs f every d, never twice at once.
+// Every returns a controller that runs f every d, never concurrently.
 func Every(d time.Duration, f func(ctx context.Context)) Controller {
 	return &periodic{every: d, run: f}
 }
--- a/blackboard/regions.go
+++ b/blackboard/regions.go
@@ -7,45 +7,44 @@
 	"github.com/embercove/embercove/region"
 )
 
-// RegionTable holds what is known of other regions: a summary for each pool of theirs, how
-// long a message takes there and back, and what this host has sent there. Its lock is a
-// leaf: nothing else is locked under it.
+// RegionTable holds the known state of other regions: a summary for each of their pools, the
+// round-trip time, and what this host has sent there. Its lock is a leaf: nothing else is locked
+// under it.
 type RegionTable struct {
-	mu    sync.Mutex
-	rows  map[regionPool]summaryRow
-	sent  map[regionPool]int // since what the row tells was true
-	trips map[uint32]time.Duration
-	left  map[uint32]uint64 // requests that left for a region, since the start
-	kept  [region.Verdicts]uint64
-	quiet map[uint32]time.Time // until when a region is left alone in which an owner said nothing
+	mu            sync.Mutex
+	rows          map[regionPool]summaryRow
+	sent          map[regionPool]int // requests sent since the time of the summary
+	roundTrips    map[uint32]time.Duration
+	redirected    map[uint32]uint64 // requests redirected to a region, since the start
+	notRedirected [region.Verdicts]uint64
+	avoidUntil    map[uint32]time.Time // until when a region is avoided, after an owner there didn't answer
 }
 
-// regionPool names a pool's endpoints in a region, by their numbers.
+// regionPool identifies a pool's endpoints in a region, by the numbers of both.
 type regionPool struct{ region, pool uint32 }
 
 type summaryRow struct {
 	region.Summary
-	at time.Time // when it was true
+	at time.Time // time at which the summary was current
 }
 
 func newRegionTable() *RegionTable {
-	return &RegionTable{rows: map[regionPool]summaryRow{}, sent: map[regionPool]int{}, trips: map[uint32]time.Duration{}, left: map[uint32]uint64{}, quiet: map[uint32]time.Time{}}
+	return &RegionTable{rows: map[regionPool]summaryRow{}, sent: map[regionPool]int{}, roundTrips: map[uint32]time.Duration{}, redirected: map[uint32]uint64{}, avoidUntil: map[uint32]time.Time{}}
 }
 
-// firstTrip is how long a message takes to another region and back, as long as none was
-// measured.
-const firstTrip = 20 * time.Millisecond
+// defaultRoundTrip is the assumed round-trip time to another region before one has been measured.
+const defaultRoundTrip = 20 * time.Millisecond
 
-// tripWeight is the weight of a new trip that took longer than the last ones: a shorter one
-// counts at once, since all that is added to a link's own delay passes.
-const tripWeight = 0.1
+// roundTripWeight is the weight of a new round-trip time that is longer than the average. A shorter
+// one replaces the average at once, because delays in excess of the link's own are temporary.
+const roundTripWeight = 0.1
 
-// fresherBy is by how much a summary has to be fresher to be a new one. One that comes back by
-// other hosts seems fresher by the 10 ms in which ages are told and by its way, 8 ms between
-// regions, at each of them; new ones come with exchanges, 500 ms apart.
+// fresherBy is how much fresher a summary must be to count as new. A summary that other hosts
+// forward seems fresher at each hop by the 10 ms steps in which ages are sent and by its time on
+// the way, 8 ms between regions. New summaries are sent with exchanges, 500 ms apart.
 const fresherBy = 250 * time.Millisecond
 
-// Learn takes in a summary that was told; the fresher one of a region's pool stays.
+// Learn stores a received summary, unless the known one of the region's pool is as fresh.
 func (t *RegionTable) Learn(s region.Summary, now time.Time) {
 	k, at := regionPool{s.Region, s.Pool}, now.Add(-s.Age())
 	t.mu.Lock()
@@ -55,7 +54,8 @@
 	}
 }
 
-// Told returns the summaries that are worth telling on, with their age.
+// Told returns the summaries that are fresh enough to be forwarded, with their age, and drops
+// the others.
 func (t *RegionTable) Told(now time.Time) []region.Summary {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -72,7 +72,7 @@
 	return out
 }
 
-// Find fills in what is known of a region's pool.
+// Find returns the known state of a region's pool.
 func (t *RegionTable) Find(number, pool uint32, now time.Time) (out region.There) {
 	k := regionPool{number, pool}
 	t.mu.Lock()
@@ -85,77 +85,77 @@
 	return out
 }
 
-// Trip returns how long a message takes to a region and back.
+// Trip returns the round-trip time to a region.
 func (t *RegionTable) Trip(number uint32) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if d, measured := t.trips[number]; measured {
+	if d, measured := t.roundTrips[number]; measured {
 		return d
 	}
-	return firstTrip
+	return defaultRoundTrip
 }
 
-// Took notes how long a message took to a region and back.
+// Took records a measured round-trip time to a region.
 func (t *RegionTable) Took(number uint32, d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	old, measured := t.trips[number]
+	old, measured := t.roundTrips[number]
 	if !measured || d < old {
-		t.trips[number] = d
+		t.roundTrips[number] = d
 		return
 	}
-	t.trips[number] = old + time.Duration(tripWeight*float64(d-old))
+	t.roundTrips[number] = old + time.Duration(roundTripWeight*float64(d-old))
 }
 
-// quietFor is how long a host sends nothing more to a region in which an owner said nothing.
-// It may be one that froze; but a call that isn't answered costs a request a quarter of a
-// second of the half that it has left, and it has been refused at home.
-const quietFor = 2 * time.Second
+// avoidFor is how long a host avoids a region after an owner there didn't answer. Only that one
+// host may be frozen. But an unanswered call costs a request, already refused in its own region,
+// a quarter of a second of the half second that it has left.
+const avoidFor = 2 * time.Second
 
-// Missed notes that an owner in a region said nothing.
+// Missed records that an owner in a region didn't answer.
 func (t *RegionTable) Missed(number uint32, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.quiet[number] = now.Add(quietFor)
+	t.avoidUntil[number] = now.Add(avoidFor)
 }
 
-// Quiet reports whether an owner in a region said nothing just now.
+// Quiet reports whether an owner in a region didn't answer within the last quietFor.
 func (t *RegionTable) Quiet(number uint32, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return now.Before(t.quiet[number])
+	return now.Before(t.avoidUntil[number])
 }
 
-// Leave notes that a request leaves for a region's pool.
+// Leave counts a request redirected to a region's pool.
 func (t *RegionTable) Leave(number, pool uint32) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.sent[regionPool{number, pool}]++
-	t.left[number]++
+	t.redirected[number]++
 }
 
-// Keep notes why a request that its region couldn't serve didn't leave for another.
+// Keep counts a request that its region couldn't serve and that was not redirected, by reason.
 func (t *RegionTable) Keep(why region.Verdict) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.kept[why]++
+	t.notRedirected[why]++
 }
 
-// Left returns how many requests have left for a region.
+// Left returns the number of requests redirected to a region.
 func (t *RegionTable) Left(number uint32) uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.left[number]
+	return t.redirected[number]
 }
 
-// Kept returns how many requests didn't leave, by verdict.
+// Kept returns the number of requests that were not redirected, by verdict.
 func (t *RegionTable) Kept() [region.Verdicts]uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.kept
+	return t.notRedirected
 }
 
-// Drop forgets the summaries, after a pause of the process.
+// Drop discards the summaries, after a pause of the process.
 func (t *RegionTable) Drop() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/blackboard/regions_test.go
+++ b/blackboard/regions_test.go
@@ -7,9 +7,10 @@
 	"github.com/embercove/embercove/region"
 )
 
-// TestSummaryToldAgain checks that a summary which comes back by other hosts is not taken
-// for a new one: times are told in steps of 10 ms, and the way isn't counted, so it seems a
-// little fresher each time. What was sent on it stays counted, until a new one comes.
+// TestSummaryToldAgain checks that a summary forwarded by other hosts doesn't count as a new one.
+// Ages are sent in steps of 10 ms and exclude the time on the way, so the summary seems a little
+// fresher after each hop. If it counted as new, the requests sent since would be forgotten and
+// the region's capacity used twice.
 func TestSummaryToldAgain(t *testing.T) {
 	const sent = 3
 	now := time.Now()
@@ -22,7 +23,7 @@
 		table.Learn(region.Summary{Region: 1, Pool: 2, Places: 5, AgeMillis: 1000}, now.Add(time.Duration(hop%2+1)*20*time.Millisecond))
 	}
 	if got := table.Find(1, 2, now); got.Sent != sent || got.Age != time.Second {
-		t.Errorf("told again: %d sent on a summary of %v, want %d and 1s", got.Sent, got.Age, sent)
+		t.Errorf("forwarded again: %d sent since a summary of age %v, want %d and 1s", got.Sent, got.Age, sent)
 	}
 	table.Learn(region.Summary{Region: 1, Pool: 2, Places: 4, AgeMillis: 1000}, now.Add(time.Second))
 	if got := table.Find(1, 2, now); got.Sent != 0 || got.Places != 4 {
--- a/blackboard/requests.go
+++ b/blackboard/requests.go
@@ -11,7 +11,7 @@
 	"github.com/embercove/embercove/result"
 )
 
-// Phase is how far a request has come.
+// Phase is a stage of a request's processing.
 type Phase string
 
 // The phases of a request.
@@ -30,17 +30,17 @@
 	Team       string
 	Model      string
 	Phase      Phase
-	Since      time.Time // of the request
+	Since      time.Time // start of the request
 	PhaseSince time.Time
 	Prefill    string // endpoint
 	Decode     string
-	Attempt    uint32   // the latest
-	Open       []uint32 // attempts that an endpoint may hold memory for
+	Attempt    uint32   // number of the latest attempt
+	Open       []uint32 // attempts for which an endpoint may hold memory
 	Tokens     int
 }
 
-// RequestTable holds the requests in progress. Its row is what makes an
-// attempt at an endpoint claimed; without it the owner cancels the attempt.
+// RequestTable holds the requests in progress. An attempt at an endpoint is claimed by its
+// entry in the request's row; without it the endpoint's owner cancels the attempt.
 type RequestTable struct {
 	inv   *invariant.Set
 	mu    sync.Mutex
@@ -53,8 +53,7 @@
 	return &RequestTable{inv: inv, rows: map[request.ID]*Request{}, teams: map[string]int{}, ended: map[result.Code]uint64{}}
 }
 
-// Begin adds a request unless the team or the host is at its limit; a limit
-// of 0 is none.
+// Begin adds a request unless the team or the host is at its limit; 0 means no limit.
 func (t *RequestTable) Begin(r Request, teamLimit, hostLimit int) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -78,7 +77,7 @@
 	}
 }
 
-// End removes a request, with its outcome.
+// End removes a request and counts its outcome.
 func (t *RequestTable) End(id request.ID, code result.Code) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -100,8 +99,8 @@
 	t.ended[code]++
 }
 
-// Open records an attempt before it is sent and returns its number. What
-// isn't recorded as open is cancelled by the endpoint's owner.
+// Open records an attempt before it is sent and returns it. Attempts that aren't recorded as
+// open are cancelled by the endpoint's owner.
 func (t *RequestTable) Open(id request.ID) request.Attempt {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -138,7 +137,7 @@
 	return len(t.rows)
 }
 
-// List returns the requests in progress, the oldest first.
+// List returns the requests in progress, oldest first.
 func (t *RequestTable) List() []Request {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/blackboard/restored.go
+++ b/blackboard/restored.go
@@ -9,19 +9,19 @@
 	"github.com/embercove/embercove/internal/trie"
 )
 
-// A store that came back from a copy lacks what was written since, until it is written again, and
-// has again what was taken back since. What this host had acknowledged of it before holds on:
+// A store restored from a backup lacks what was written after the backup until it is written
+// again, and contains what was deleted after the backup. This host keeps some of the lost state:
 //
-//   - an endpoint that leaves goes on leaving (judge);
-//   - an endpoint that the copy lacks stays in use for config.LapsedKept, as after an outage;
-//   - an endpoint that had gone and is in the copy isn't used for some time (route.Fleet);
-//   - a failure domain that was being emptied stays so for evacuationsKept.
+//   - an endpoint that was leaving is still leaving (mergeEndpoint);
+//   - an endpoint that the backup lacks stays in use for config.LapsedKept, as after an outage;
+//   - an endpoint that was gone and is in the backup isn't used for some time (route.Fleet);
+//   - a failure domain that was evacuated stays so for evacuationsKept.
 
-// evacuationsKept is how long a failure domain goes on being emptied that a copy of the store
-// doesn't tell of. Operators publish again what was lost.
+// evacuationsKept is how long an evacuation that a restored store lacks stays in force. In this
+// time operators publish again what was lost.
 const evacuationsKept = 10 * time.Second
 
-// keptEvacuations are evacuations that the roster doesn't tell, by failure domain.
+// keptEvacuations are evacuations in force that the roster lacks, by failure domain.
 type keptEvacuations map[string]keptEvacuation
 
 type keptEvacuation struct {
@@ -29,7 +29,7 @@
 	until time.Time
 }
 
-// expire drops evacuations that were kept for long, and returns how many.
+// expire drops evacuations whose time is over and returns their number.
 func (k keptEvacuations) expire(now time.Time) (dropped int) {
 	for domain, e := range k {
 		if now.After(e.until) {
@@ -40,33 +40,33 @@
 	return dropped
 }
 
-// restored returns the first roster of a later era with the endpoints that it lacks, and keeps
-// the evacuations that it lacks. The caller holds the lock.
-func (t *ConfigTable) restored(r *config.Roster, now time.Time) *config.Roster {
+// mergeRestored adds the endpoints that the first roster of a later era lacks, and keeps the
+// evacuations that it lacks. The caller holds the lock.
+func (t *ConfigTable) mergeRestored(r *config.Roster, now time.Time) *config.Roster {
 	t.keepEvacuations(r, now)
-	taken := map[string]bool{}
+	usedAddresses := map[string]bool{}
 	for _, e := range r.Endpoints.All() {
-		taken[e.Address] = true
+		usedAddresses[e.Address] = true
 	}
 	missing := map[uint32]*config.Endpoint{}
-	trie.Diff(t.known(), r.Endpoints, func(number uint32, was, told *config.Endpoint) {
-		if told != nil || was.Leaving || taken[was.Address] {
+	trie.Diff(t.knownEndpoints(), r.Endpoints, func(number uint32, known, offered *config.Endpoint) {
+		if offered != nil || known.Leaving || usedAddresses[known.Address] {
 			return
 		}
-		lapsed := *was
-		if lapsed.Lapsed.IsZero() {
-			lapsed.Lapsed = now
+		expired := *known
+		if expired.Lapsed.IsZero() {
+			expired.Lapsed = now
 		}
-		missing[number] = &lapsed
+		missing[number] = &expired
 	})
 	return &config.Roster{Revision: r.Revision, Endpoints: config.Apply(r.Endpoints, missing), Evacuated: r.Evacuated}
 }
 
-// keepEvacuations keeps those in force that a roster lacks. The caller holds the lock.
+// keepEvacuations keeps the evacuations in force that a roster lacks. The caller holds the lock.
 func (t *ConfigTable) keepEvacuations(r *config.Roster, now time.Time) {
-	told := config.EvacuationsByDomain(r.Evacuated)
+	listed := config.EvacuationsByDomain(r.Evacuated)
 	for _, e := range t.roster.Evacuated {
-		if _, still := told[e.Domain]; still {
+		if _, still := listed[e.Domain]; still {
 			continue
 		}
 		if t.kept == nil {
@@ -76,9 +76,9 @@
 	}
 }
 
-// withKept returns a roster with the evacuations that are kept though it doesn't tell them. One
-// that it tells is kept no longer. The caller holds the lock.
-func (t *ConfigTable) withKept(r *config.Roster) *config.Roster {
+// withKeptEvacuations returns a roster with the kept evacuations added. Evacuations that the
+// roster contains itself are no longer kept. The caller holds the lock.
+func (t *ConfigTable) withKeptEvacuations(r *config.Roster) *config.Roster {
 	if r == nil || len(t.kept) == 0 {
 		return r
 	}
--- a/blackboard/restored_test.go
+++ b/blackboard/restored_test.go
@@ -8,7 +8,7 @@
 	"github.com/embercove/embercove/invariant"
 )
 
-// position returns a position that can be told.
+// position returns the position of a revision in an era.
 func position(t *testing.T, era, revision uint64) config.Position {
 	t.Helper()
 	p, err := config.At(era, revision)
@@ -18,8 +18,8 @@
 	return p
 }
 
-// restoredRow returns an endpoint, by a letter; in upper case it leaves.
-func restoredRow(name string, born int64) config.Endpoint {
+// letterEndpoint returns an endpoint with a one-letter name; upper case means that it is leaving.
+func letterEndpoint(name string, born int64) config.Endpoint {
 	leaving := name < "a"
 	if leaving {
 		name = string(name[0] + 'a' - 'A')
@@ -27,11 +27,12 @@
 	return config.Endpoint{Name: name, Address: "127.0.0.1:" + string(name[0]-'a'+'1'), Domain: "d", Pool: "p", Role: config.Service, Born: born, Leaving: leaving}
 }
 
-// TestRestored offers rosters to a table, and states what is in force after the last one: names of
-// endpoints, in upper case where they leave, and failure domains that are being emptied.
+// TestRestored offers rosters to a table, some of them of a restored store, and checks what is in
+// force after the last one: endpoints, in upper case if they are leaving, and the number of
+// evacuated failure domains.
 func TestRestored(t *testing.T) {
 	type roster struct {
-		after         time.Duration // the one before
+		after         time.Duration // time since the previous one
 		era, revision uint64
 		names         []string
 		born          int64
@@ -41,26 +42,26 @@
 	for _, tc := range []struct {
 		name    string
 		steps   []roster
-		after   time.Duration // that it is looked at, after the last one
+		after   time.Duration // time of the check, after the last one
 		want    string
 		emptied int
 	}{
 		{"a lower revision of the same era", []roster{{0, 1, 9, []string{"a"}, 0, nil}, {0, 1, 3, []string{"b"}, 0, nil}}, 0, "a", 0},
 		{"a lower revision of a later era", []roster{{0, 1, 9, []string{"a"}, 0, nil}, {0, 2, 3, []string{"a", "b"}, 0, nil}}, 0, "ab", 0},
 		{"a higher revision of an earlier era", []roster{{0, 2, 3, []string{"a"}, 0, nil}, {0, 1, 9, []string{"b"}, 0, nil}}, 0, "a", 0},
-		{"the store begins to tell an era", []roster{{0, 0, 9, []string{"a"}, 0, nil}, {0, 1, 3, []string{"a", "b"}, 0, nil}}, 0, "ab", 0},
-		{"what the copy lacks is kept", []roster{{0, 1, 9, []string{"a", "b"}, 0, nil}, {0, 2, 3, []string{"a"}, 0, nil}}, second, "ab", 0},
-		{"for some time", []roster{{0, 1, 9, []string{"a", "b"}, 0, nil}, {0, 2, 3, []string{"a"}, 0, nil}}, 3 * second, "a", 0},
+		{"the store begins to report an era", []roster{{0, 0, 9, []string{"a"}, 0, nil}, {0, 1, 3, []string{"a", "b"}, 0, nil}}, 0, "ab", 0},
+		{"an endpoint that the backup lacks is kept", []roster{{0, 1, 9, []string{"a", "b"}, 0, nil}, {0, 2, 3, []string{"a"}, 0, nil}}, second, "ab", 0},
+		{"for a limited time", []roster{{0, 1, 9, []string{"a", "b"}, 0, nil}, {0, 2, 3, []string{"a"}, 0, nil}}, 3 * second, "a", 0},
 		{"unless it registers again", []roster{{0, 1, 9, []string{"a", "b"}, 0, nil}, {0, 2, 3, []string{"a"}, 0, nil}, {second, 2, 4, []string{"a", "b"}, 0, nil}}, 3 * second, "ab", 0},
-		{"what leaves and the copy lacks isn't", []roster{{0, 1, 9, []string{"a", "B"}, 0, nil}, {0, 2, 3, []string{"a"}, 0, nil}}, 0, "a", 0},
-		{"a mark that the copy lacks", []roster{{0, 1, 9, []string{"a", "B"}, 0, nil}, {0, 2, 3, []string{"a", "b"}, 0, nil}}, time.Minute, "aB", 0},
-		{"and a later roster too", []roster{{0, 1, 9, []string{"a", "B"}, 5, nil}, {0, 2, 3, []string{"a", "b"}, 5, nil}, {0, 2, 4, []string{"a", "b", "c"}, 5, nil}}, 0, "aBc", 0},
-		{"a later start has no mark", []roster{{0, 1, 9, []string{"a", "B"}, 5, nil}, {0, 2, 3, []string{"a", "b"}, 6, nil}}, 0, "ab", 0},
-		{"an evacuation that the copy lacks", []roster{{0, 1, 9, []string{"a"}, 0, []string{"d"}}, {0, 2, 3, []string{"a"}, 0, nil}}, 9 * second, "a", 1},
-		{"is kept for some time", []roster{{0, 1, 9, []string{"a"}, 0, []string{"d"}}, {0, 2, 3, []string{"a"}, 0, nil}}, 11 * second, "a", 0},
-		{"or until it was published again", []roster{{0, 1, 9, []string{"a"}, 0, []string{"d"}}, {0, 2, 3, []string{"a"}, 0, nil}, {second, 2, 4, []string{"a"}, 0, []string{"d"}}}, 0, "a", 1},
-		{"and taken back", []roster{{0, 1, 9, []string{"a"}, 0, []string{"d"}}, {0, 2, 3, []string{"a"}, 0, nil}, {second, 2, 4, []string{"a"}, 0, []string{"d"}}, {second, 2, 5, []string{"a"}, 0, nil}}, 0, "a", 0},
-		{"an evacuation that was taken back in the same era", []roster{{0, 1, 9, []string{"a"}, 0, []string{"d"}}, {0, 1, 10, []string{"a"}, 0, nil}}, 0, "a", 0},
+		{"a leaving endpoint that the backup lacks isn't kept", []roster{{0, 1, 9, []string{"a", "B"}, 0, nil}, {0, 2, 3, []string{"a"}, 0, nil}}, 0, "a", 0},
+		{"a leaving mark that the backup lacks", []roster{{0, 1, 9, []string{"a", "B"}, 0, nil}, {0, 2, 3, []string{"a", "b"}, 0, nil}}, time.Minute, "aB", 0},
+		{"and that a later roster lacks too", []roster{{0, 1, 9, []string{"a", "B"}, 5, nil}, {0, 2, 3, []string{"a", "b"}, 5, nil}, {0, 2, 4, []string{"a", "b", "c"}, 5, nil}}, 0, "aBc", 0},
+		{"a later process isn't leaving", []roster{{0, 1, 9, []string{"a", "B"}, 5, nil}, {0, 2, 3, []string{"a", "b"}, 6, nil}}, 0, "ab", 0},
+		{"an evacuation that the backup lacks is kept", []roster{{0, 1, 9, []string{"a"}, 0, []string{"d"}}, {0, 2, 3, []string{"a"}, 0, nil}}, 9 * second, "a", 1},
+		{"for a limited time too", []roster{{0, 1, 9, []string{"a"}, 0, []string{"d"}}, {0, 2, 3, []string{"a"}, 0, nil}}, 11 * second, "a", 0},
+		{"or until it is published again", []roster{{0, 1, 9, []string{"a"}, 0, []string{"d"}}, {0, 2, 3, []string{"a"}, 0, nil}, {second, 2, 4, []string{"a"}, 0, []string{"d"}}}, 0, "a", 1},
+		{"and revoked", []roster{{0, 1, 9, []string{"a"}, 0, []string{"d"}}, {0, 2, 3, []string{"a"}, 0, nil}, {second, 2, 4, []string{"a"}, 0, []string{"d"}}, {second, 2, 5, []string{"a"}, 0, nil}}, 0, "a", 0},
+		{"an evacuation that is revoked in the same era", []roster{{0, 1, 9, []string{"a"}, 0, []string{"d"}}, {0, 1, 10, []string{"a"}, 0, nil}}, 0, "a", 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			table := newConfigTable(new(invariant.Set))
@@ -73,7 +74,7 @@
 				at := position(t, s.era, s.revision)
 				list := &config.RosterList{Revision: at}
 				for _, name := range s.names {
-					list.Endpoints = append(list.Endpoints, restoredRow(name, s.born))
+					list.Endpoints = append(list.Endpoints, letterEndpoint(name, s.born))
 				}
 				for _, d := range s.emptied {
 					list.Evacuated = append(list.Evacuated, config.Evacuation{Domain: d, Revision: at})
@@ -94,21 +95,21 @@
 				}
 			}
 			if got != tc.want || len(v.Evacuated) != tc.emptied {
-				t.Errorf("%s in force, %d failure domains emptied; want %s, %d", got, len(v.Evacuated), tc.want, tc.emptied)
+				t.Errorf("%s in force, %d failure domains evacuated; want %s, %d", got, len(v.Evacuated), tc.want, tc.emptied)
 			}
 		})
 	}
 }
 
-// TestChangesOfEras has a host that knew more than another of an era hear of the next one from it:
-// it is told the whole roster.
+// TestChangesOfEras checks that a host whose roster is of an earlier era is sent the whole roster. It
+// may have applied changes of that era that were lost before the sender received them.
 func TestChangesOfEras(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	table := newConfigTable(new(invariant.Set))
 	offer := func(at config.Position, names ...string) {
 		list := &config.RosterList{Revision: at}
 		for _, name := range names {
-			list.Endpoints = append(list.Endpoints, restoredRow(name, 0))
+			list.Endpoints = append(list.Endpoints, letterEndpoint(name, 0))
 		}
 		if _, err := table.OfferRoster(list.Roster(), now); err != nil {
 			t.Fatal(err)
--- a/blackboard/sources.go
+++ b/blackboard/sources.go
@@ -9,12 +9,11 @@
 	Text     []byte
 }
 
-// keptSources is how many documents are kept, so that hosts which are at an
-// earlier one are sent the change: one in force, and two for those behind it.
+// keptSources is the number of documents kept, so that hosts with an earlier one can be sent
+// the change: the one in force and two earlier ones.
 const keptSources = 3
 
-// keepSource keeps the document of a view that came into force; the caller holds
-// the lock.
+// keepSource keeps the document of a view that came into force. The caller holds the lock.
 func (t *ConfigTable) keepSource(v *config.View) {
 	t.sources = append(t.sources, Source{v.Revision, v.Digest, v.Source})
 	if len(t.sources) > keptSources {
@@ -32,7 +31,7 @@
 	return t.sources[len(t.sources)-1]
 }
 
-// Source returns the document of a revision, nil if it isn't kept.
+// Source returns the document of a revision, or nil if it isn't kept.
 func (t *ConfigTable) Source(revision uint64) *Source {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/blackboard/voters.go
+++ b/blackboard/voters.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Voters returns the hosts by which it is decided who gives out what there is once in a
-// failure domain: its known hosts that don't leave, or those of the region where none is
-// known. alive says which of them count as live.
+// Voters returns the hosts whose votes decide who hands out permits in a failure domain: its
+// known hosts that are not leaving, or those of the region if the domain has none. alive says
+// which of them are live.
 func (t *HostTable) Voters(domain, region string, now time.Time) (hosts []Host, alive []bool) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
--- a/owner/balance_test.go
+++ b/owner/balance_test.go
@@ -55,7 +55,7 @@
 		name       string
 		settled    time.Duration // since the members changed
 		leaving    bool
-		doubted    bool   // a host becomes suspected between the two checks of the members
+		doubted    bool   // a host becomes unconfirmed between the two checks of the members
 		come       int    // hosts that join between the checks
 		into       string // their domain
 		gap        bool   // no checks in between
@@ -72,7 +72,7 @@
 		{name: "a host joined another domain, soon after the last change", settled: settledAfter, come: 1, into: "e"},
 		{name: "hosts joined, one of which orders this runner", settled: minTenure, come: 200, into: "d"},
 		{name: "no checks for a while", settled: 2 * minTenure, gap: true, come: 1, into: "e"},
-		{name: "a host becomes suspected", settled: settledAfter, doubted: true, orders: 1},
+		{name: "a host becomes unconfirmed", settled: settledAfter, doubted: true, orders: 1},
 		{name: "leaving", settled: settledAfter, leaving: true},
 		{name: "four of six hosts are left", settled: settledAfter, gone: 2, orders: 1},
 		{name: "half of the hosts are unreachable", settled: settledAfter, gone: 3},
--- a/owner/tenure.go
+++ b/owner/tenure.go
@@ -31,7 +31,7 @@
 type tenure struct {
 	host      uint32
 	since     time.Time
-	lastCheck time.Time // last check
+	lastCheck time.Time // of who the orderer is
 }
 
 // maxCheckGap is the maximum time between two checks of who a runner's orderer is. After a longer
@@ -39,7 +39,7 @@
 const maxCheckGap = 3 * balanceInterval
 
 // updateTenure returns the orderer of a runner and updates its tenure. The orderer is the host of
-// the runner's failure domain that would own it if no host were suspected. A domain without
+// the runner's failure domain that would own it if no host were unconfirmed. A domain without
 // hosts gets no orders: the result is 0.
 func (o *Owner) updateTenure(hosts *blackboard.Candidates, number uint32, now time.Time) (host uint32) {
 	host, ok := hosts.FirstSteady(uint64(number))
