--- a/config/change.go
+++ b/config/change.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// RosterChange is what changed in a roster since an earlier revision, as of
-// Revision. It may be laid over any roster from From to Revision.
+// RosterChange holds the changes of a roster between two revisions. It can be applied to a
+// roster of any revision from From up to Revision.
 type RosterChange struct {
 	From, Revision Position
-	Changed        []Endpoint   // new, or with a new state
-	Gone           []string     // names
-	Evacuated      []Evacuation // all that hold as of Revision, as they are few
+	Changed        []Endpoint   // new or changed
+	Gone           []string     // names of removed endpoints
+	Evacuated      []Evacuation // all in force at Revision, changed or not, because they are few
 }
 
-// With returns the roster that a change makes of r.
+// With applies a change to r and returns the resulting roster.
 func (r *Roster) With(c *RosterChange) *Roster {
 	out := &Roster{Revision: c.Revision, Endpoints: r.Endpoints, Evacuated: c.Evacuated}
 	for _, name := range c.Gone {
@@ -26,25 +26,25 @@
 	return out
 }
 
-// SameRegistration reports whether two registrations say the same.
+// SameRegistration reports whether two registrations are equivalent.
 func SameRegistration(a, b *Endpoint) bool {
 	return a.Name == b.Name && a.Address == b.Address && a.Domain == b.Domain && a.Pool == b.Pool && a.Role == b.Role &&
 		a.Slots == b.Slots && a.Leaving == b.Leaving && a.Model == b.Model && a.Version == b.Version &&
 		a.Lapsed.IsZero() == b.Lapsed.IsZero() && a.Born == b.Born && sameCold(a, b)
 }
 
-// SameEndpoint reports whether two endpoints are the same in all that they say and that is
-// known of them here.
+// SameEndpoint reports whether two endpoints are equal in all fields, including those that are
+// only known to this host.
 func SameEndpoint(a, b *Endpoint) bool { return reflect.DeepEqual(a, b) }
 
-// RosterList is a roster as other hosts are told of it.
+// RosterList is a roster in the form sent to other hosts.
 type RosterList struct {
 	Revision  Position
 	Endpoints []Endpoint
 	Evacuated []Evacuation
 }
 
-// List returns the roster as other hosts are told of it now.
+// List returns the roster in the form sent to other hosts, as of now.
 func (r *Roster) List(now time.Time) *RosterList {
 	out := &RosterList{Revision: r.Revision, Evacuated: r.Evacuated, Endpoints: make([]Endpoint, 0, r.Endpoints.Len())}
 	for _, e := range r.Endpoints.All() {
@@ -53,7 +53,7 @@
 	return out
 }
 
-// Roster returns the roster of a list.
+// Roster returns the list as a roster.
 func (l *RosterList) Roster() *Roster {
 	rows := make([]*Endpoint, len(l.Endpoints))
 	for i := range rows {
--- a/config/check.go
+++ b/config/check.go
@@ -19,7 +19,7 @@
 	DefaultResultKeep     = 4000
 )
 
-// First guesses of a pool's rates, until they are learned.
+// Initial estimates of a pool's rates, until they are learned.
 const (
 	DefaultTokensPerSecond = 40_000
 	DefaultStepMicros      = 700
@@ -84,7 +84,7 @@
 	}
 }
 
-// checker gathers the faults of a document.
+// checker collects the errors of a document.
 type checker struct {
 	errs FieldErrors
 }
@@ -97,7 +97,7 @@
 
 const maxNameLen = 63
 
-// name asks for a short name of letters, digits, dots, dashes and underscores.
+// name checks for a short name of letters, digits, dots, dashes and underscores.
 func (c *checker) name(field, v string) {
 	if v == "" {
 		c.fail(field, `""`, "must be set")
@@ -135,7 +135,7 @@
 	}
 }
 
-// unique asks that no two rows carry the same name.
+// unique checks that a value was not seen before.
 func (c *checker) unique(seen map[string]bool, field, v string) {
 	if seen[v] {
 		c.fail(field, strconv.Quote(v), "is used twice")
@@ -161,7 +161,7 @@
 	return c.errs
 }
 
-// pathRoute checks a route that is chosen by host and path.
+// pathRoute checks a route that is selected by host and path.
 func (c *checker) pathRoute(f string, r Route, pools map[string]bool) {
 	if !strings.HasPrefix(r.PathPrefix, "/") || !strings.HasSuffix(r.PathPrefix, "/") {
 		c.fail(f+".path_prefix", strconv.Quote(r.PathPrefix), "want a path that begins and ends with a slash")
@@ -198,7 +198,7 @@
 		if r.Service != "" {
 			c.selector(f+".service", r.Service)
 			if r.Prefill != "" || r.Decode != "" {
-				c.fail(f+".service", strconv.Quote(r.Service), "can't stand beside prefill or decode")
+				c.fail(f+".service", strconv.Quote(r.Service), "can't be combined with prefill or decode")
 			}
 			continue
 		}
--- a/config/check_fleet.go
+++ b/config/check_fleet.go
@@ -18,8 +18,8 @@
 	if len(rows) == 0 {
 		c.fail("failure_domains", "", "want at least one")
 	}
-	if n := countRegions(rows); n > mostRegions {
-		c.fail("failure_domains", "", fmt.Sprintf("%d regions, want at most %d", n, mostRegions))
+	if n := countRegions(rows); n > maxRegions {
+		c.fail("failure_domains", "", fmt.Sprintf("%d regions, want at most %d", n, maxRegions))
 	}
 	return seen
 }
--- a/config/cold.go
+++ b/config/cold.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// SameCold is how far two moments until which an endpoint is cold may lie apart to be
-// the same. A cold endpoint registers anew with each heartbeat, and each registration is
-// some 100 ms under way.
-const SameCold = 500 * time.Millisecond
+// ColdUntilTolerance is the maximum difference between two ends of an endpoint's cold phase that count as
+// the same. A cold endpoint registers again with each heartbeat, and each registration takes
+// some 100 ms to arrive.
+const ColdUntilTolerance = 500 * time.Millisecond
 
-// Heard returns the endpoint as it registered itself just now: what is relative in its
-// registration becomes a time of this process.
+// Heard converts the relative cold time of a registration that has just arrived to a time of this
+// process.
 func (e Endpoint) Heard(now time.Time) Endpoint {
 	e.ColdUntil = time.Time{}
 	if e.ColdMillis > 0 {
@@ -17,7 +17,8 @@
 	return e
 }
 
-// Told returns the endpoint as another host is told of it, which has another clock.
+// Told converts the time of this process back to a relative cold time, for sending the endpoint to
+// another host, whose clock differs.
 func (e Endpoint) Told(now time.Time) Endpoint {
 	e.ColdMillis = 0
 	if left := e.ColdUntil.Sub(now); left > 0 {
@@ -27,8 +28,8 @@
 	return e
 }
 
-// sameCold reports whether two registrations say the same of how long an endpoint is
-// cold. Only that it is, and a moment that has moved, is told around: not each heartbeat.
+// sameCold reports whether two registrations agree on how long an endpoint is cold. Hosts are sent
+// only a change of being cold or of its end, and not each heartbeat.
 func sameCold(a, b *Endpoint) bool {
-	return a.ColdMillis > 0 == (b.ColdMillis > 0) && a.ColdUntil.Sub(b.ColdUntil).Abs() <= SameCold
+	return a.ColdMillis > 0 == (b.ColdMillis > 0) && a.ColdUntil.Sub(b.ColdUntil).Abs() <= ColdUntilTolerance
 }
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -7,8 +7,7 @@
 	"github.com/embercove/embercove/examples"
 )
 
-// TestDocumentErrors changes one thing about a valid document and names what
-// the error has to say.
+// TestDocumentErrors makes one change to a valid document and checks the error.
 func TestDocumentErrors(t *testing.T) {
 	cases := []struct{ name, from, to, want string }{
 		{"typo", `"tokens_per_second"`, `"token_per_second"`, `token_per_second: unknown field; did you mean "tokens_per_second"?`},
@@ -43,7 +42,7 @@
 	}
 }
 
-// TestPositions checks that an error points to line and column.
+// TestPositions checks that an error has line and column.
 func TestPositions(t *testing.T) {
 	src := "{\n\t\"failure_domains\": [\n\t\t{\"name\": \"a\", \"region\": \"\"},\n\t],\n}"
 	_, err := ParseDocument([]byte(src))
@@ -52,8 +51,7 @@
 	}
 }
 
-// TestWeights checks that the two deployments' weights ask for different
-// things.
+// TestWeights checks that the weights of the two example deployments lead to different trade-offs.
 func TestWeights(t *testing.T) {
 	views := map[string]*View{}
 	for _, n := range examples.Names {
@@ -68,7 +66,7 @@
 		t.Errorf("full engines: %g and %g, want Dómaskrá to overbook more", d.FullShare(), p.FullShare())
 	}
 	if d.Patience() != 0 || p.Patience() <= 0 {
-		t.Errorf("patience: %g and %g, want Paranacor alone to have some", d.Patience(), p.Patience())
+		t.Errorf("patience: %g and %g, want only Paranacor's above 0", d.Patience(), p.Patience())
 	}
 }
 
@@ -94,8 +92,7 @@
 	}
 }
 
-// FuzzDocument checks that no bytes make the parser panic, and that what it
-// accepts it accepts again with the same outcome.
+// FuzzDocument checks that no input makes the parser panic, and that parsing is deterministic.
 func FuzzDocument(f *testing.F) {
 	f.Add(examples.Domaskra)
 	f.Add(examples.Paranacor)
--- a/config/document.go
+++ b/config/document.go
@@ -1,9 +1,8 @@
 // Package config defines what operators write: the configuration document
 // that the platform publishes, and the settings of one process.
 //
-// Both are JSON with comments. Parsing is a pure function of the bytes, so
-// every host accepts or rejects a revision alike. The package reads no files
-// and talks to no one.
+// Both are JSON with comments. Parsing is a pure function of the bytes, so all
+// hosts agree on whether a revision is valid. The package does no I/O.
 package config
 
 import "time"
@@ -22,12 +21,12 @@
 	Policy    Policy     `json:"policy"`
 }
 
-// Domain is a failure domain and the region it lies in.
+// Domain is a failure domain and its region.
 type Domain struct {
 	Name   string `json:"name"`
 	Region string `json:"region"`
-	// LinkBytesPerSecond is the rate of the link into the domain that
-	// transfers from other domains share. 0: no transfer crosses it.
+	// LinkBytesPerSecond is the bandwidth of the link into the domain, shared by
+	// transfers from other domains. 0: no transfers into the domain.
 	LinkBytesPerSecond int64 `json:"link_bytes_per_second"`
 }
 
@@ -40,7 +39,7 @@
 	KVBytesPerToken int64    `json:"kv_bytes_per_token"`
 }
 
-// Role says what an endpoint does.
+// Role is the kind of work that an endpoint does.
 type Role string
 
 // The roles of endpoints.
@@ -58,77 +57,78 @@
 	Role    Role              `json:"role"`
 	Labels  map[string]string `json:"labels"`
 	Model   string            `json:"model"`
-	// Version is the model version that orders bring the runner to; empty
-	// means the model's own version.
+	// Version is the model version that the runner is ordered to run; empty
+	// means the version of the model's entry.
 	Version  string   `json:"version"`
 	Adapters []string `json:"adapters"`
 
-	MemoryTokens        int     `json:"memory_tokens"`         // decode: KV memory
-	Slots               int     `json:"slots"`                 // decode, service: requests at once
-	TokensPerSecond     float64 `json:"tokens_per_second"`     // prefill: rate of reading
+	MemoryTokens        int     `json:"memory_tokens"`         // decode: capacity of the KV cache
+	Slots               int     `json:"slots"`                 // decode, service: concurrent requests
+	TokensPerSecond     float64 `json:"tokens_per_second"`     // prefill: rate
 	StepMicros          int     `json:"step_micros"`           // decode: time of a step with one request
-	StepMicrosEach      int     `json:"step_micros_each"`      // decode: added by each further request
-	LinkBytesPerSecond  int64   `json:"link_bytes_per_second"` // decode: rate of the link into it
+	StepMicrosEach      int     `json:"step_micros_each"`      // decode: time added by each further request
+	LinkBytesPerSecond  int64   `json:"link_bytes_per_second"` // decode: bandwidth of the link into it
 	ResultKeepMillis    int     `json:"result_keep_ms"`        // prefill: how long an exported result is kept
 	ChecksFence         bool    `json:"checks_fence"`
 	Leaving             bool    `json:"leaving"`
-	NotRepeatableAllows bool    `json:"takes_not_repeatable"` // service: may be given calls that may not be repeated
+	NotRepeatableAllows bool    `json:"takes_not_repeatable"` // service: accepts requests that must not be repeated
 
-	// Pool names the pool of an endpoint that registered itself; the pool
-	// gives the sizes that the endpoint doesn't state.
+	// Pool names the pool of a self-registered endpoint. The pool provides the
+	// sizes that the endpoint doesn't state.
 	Pool string `json:"pool"`
-	// GrowsMemory says that an answer takes decode memory as it is written,
-	// instead of all that it may come to from the start.
+	// GrowsMemory means that memory for an answer is allocated during decode,
+	// instead of the maximum at the start.
 	GrowsMemory bool `json:"grows_memory"`
-	// TokensPerPiece is how many tokens one piece of a stream holds; 0 means 1.
+	// TokensPerPiece is the number of tokens in one event of a stream; 0 means 1.
 	TokensPerPiece int `json:"tokens_per_piece"`
-	// Registered marks an endpoint of a roster. Its state is what it says of
-	// itself, so it is given no orders to reach the state of a revision.
+	// Registered marks an endpoint of a roster. It determines its own state, so it
+	// is not ordered into the state of a revision.
 	Registered bool `json:"-"`
-	// Lapsed is when the registration vanished although nobody can tell that
-	// the endpoint left; zero: it stands. It is a time of this process: what
-	// another host sent is replaced when it is taken in.
+	// Lapsed is when the registration expired without a sign that the endpoint
+	// left; zero: it is valid. It is a time of this process: the value sent by
+	// another host is replaced on arrival.
 	Lapsed time.Time `json:"-"`
 
-	// Born is when the endpoint's process started, in ms since 1970 by the endpoint's own
-	// clock; 0: unknown. With the name it tells one process from another: one that starts
-	// again under its name holds nothing of before. No clock of a host is compared with it.
+	// Born is the start time of the endpoint's process in ms since 1970, by the endpoint's
+	// own clock; 0: unknown. Together with the name it identifies a process: one that
+	// starts again under the same name holds nothing of the previous one. It is never
+	// compared with the clock of a host.
 	Born int64 `json:"-"`
 
-	// ColdPerSecond is how many requests a second the endpoint bears while it is cold;
-	// 0: as many as ever.
+	// ColdPerSecond is the number of requests a second that the endpoint can handle while
+	// it is cold; 0: no limit.
 	ColdPerSecond float64 `json:"cold_per_s,omitempty"`
 	// ColdStartMillis is how long it stays cold after a start.
 	ColdStartMillis int `json:"cold_start_ms,omitempty"`
-	// ColdMillis is for how long it is still cold by its registration, from when that
-	// was told.
+	// ColdMillis is the remaining cold time according to its registration, relative to
+	// when that was sent.
 	ColdMillis int `json:"-"`
-	// ColdUntil is the same as a time of this process; what another host sent is
-	// replaced when it is taken in.
+	// ColdUntil is the same as a time of this process. The value sent by another host is
+	// replaced on arrival.
 	ColdUntil time.Time `json:"-"`
 }
 
-// LapsedKept is how long an endpoint is used without its registration. One that
-// lives registers again within two seconds of the platform's return.
+// LapsedKept is the grace period for which an endpoint stays in use after its registration
+// expired. A live endpoint registers again within two seconds of the platform's return.
 const LapsedKept = 2500 * time.Millisecond
 
-// Expired reports whether the endpoint has been without a registration for so
-// long that it counts as gone.
+// Expired reports whether the endpoint's registration expired so long ago that the endpoint
+// counts as gone.
 func (e *Endpoint) Expired(now time.Time) bool {
 	return !e.Lapsed.IsZero() && now.Sub(e.Lapsed) > LapsedKept
 }
 
-// StartedBefore reports whether e tells of an earlier start than another registration of
-// the same name. Such a word is late, whatever brought it: it is never believed.
+// StartedBefore reports whether e has an earlier start time than another registration of the
+// same name. If so it is outdated and is never used, wherever it came from.
 func (e *Endpoint) StartedBefore(other *Endpoint) bool {
 	return e.Born != 0 && other.Born != 0 && e.Born < other.Born
 }
 
-// PieceTokens returns how many tokens one piece of the endpoint's streams holds.
+// PieceTokens returns the number of tokens in one event of the endpoint's streams.
 func (e *Endpoint) PieceTokens() int { return max(1, e.TokensPerPiece) }
 
-// Pool states what endpoints that register themselves under its name have in
-// common. A pool without memory is one of plain services.
+// Pool holds the common properties of the endpoints that register themselves under
+// its name. A pool without memory is a pool of plain services.
 type Pool struct {
 	Name                string  `json:"name"`
 	MemoryTokens        int     `json:"memory_tokens"`
@@ -136,64 +136,64 @@
 	LinkBytesPerSecond  int64   `json:"link_bytes_per_second"`
 	ResultKeepMillis    int     `json:"result_keep_ms"`
 	TokensPerPiece      int     `json:"tokens_per_piece"`
-	RoleSwitchMillis    int     `json:"role_switch_ms"`    // what a change of role takes beyond running work
-	Connections         int     `json:"connections"`       // that one endpoint takes from all hosts together; 0: any number
-	TokensPerSecond     float64 `json:"tokens_per_second"` // first guess; the true rate is learned
-	StepMicros          int     `json:"step_micros"`       // first guess
-	StepMicrosEach      int     `json:"step_micros_each"`  // first guess
+	RoleSwitchMillis    int     `json:"role_switch_ms"`    // time of a role switch, after running work has ended
+	Connections         int     `json:"connections"`       // per endpoint, from all hosts together; 0: no limit
+	TokensPerSecond     float64 `json:"tokens_per_second"` // initial estimate; the actual rate is learned
+	StepMicros          int     `json:"step_micros"`       // initial estimate
+	StepMicrosEach      int     `json:"step_micros_each"`  // initial estimate
 	NotRepeatableAllows bool    `json:"takes_not_repeatable"`
-	ColdPerSecond       float64 `json:"cold_per_s,omitempty"`    // requests that a cold endpoint bears; 0: as many as ever
-	ColdStartMillis     int     `json:"cold_start_ms,omitempty"` // for which an endpoint is cold after a start
-	Copies              bool    `json:"copies,omitempty"`        // endpoints keep copies of the memory of each other's answers
-	Moves               bool    `json:"moves,omitempty"`         // an answer that runs can be moved to another endpoint
+	ColdPerSecond       float64 `json:"cold_per_s,omitempty"`    // requests to a cold endpoint; 0: no limit
+	ColdStartMillis     int     `json:"cold_start_ms,omitempty"` // time for which an endpoint is cold after a start
+	Copies              bool    `json:"copies,omitempty"`        // endpoints keep replicas of each other's running answers
+	Moves               bool    `json:"moves,omitempty"`         // a running answer can be transferred to another endpoint
 }
 
 // Engines reports whether the pool's endpoints are model runners.
 func (p *Pool) Engines() bool { return p.MemoryTokens > 0 }
 
-// Route states which requests may go to which endpoints. The first route
-// whose request selector matches is taken.
+// Route maps requests to the endpoints that may serve them. The first route
+// whose request selector matches is used.
 type Route struct {
 	Name     string `json:"name"`
 	Requests string `json:"requests"` // selector over request labels
 	Prefill  string `json:"prefill"`  // selector over endpoint labels
 	Decode   string `json:"decode"`
 	Service  string `json:"service"`
-	Priority int    `json:"priority"` // 0 is most urgent; a request may lower itself
+	Priority int    `json:"priority"` // 0 is most urgent; a request may lower its own priority
 
-	// Host and PathPrefix choose the route by the call's own host and path:
-	// the longest prefix wins. Such a route names pools instead of selectors.
+	// Host and PathPrefix select the route by the request's host and path; the
+	// longest prefix wins. Such a route names pools instead of selectors.
 	Host       string      `json:"host"`
 	PathPrefix string      `json:"path_prefix"`
 	Pools      []PoolShare `json:"pools"`
 
-	Public        bool `json:"public"`         // callers need no key, also where teams have keys
+	Public        bool `json:"public"`         // callers need no key, even if teams have keys
 	NotRepeatable bool `json:"not_repeatable"` // a request runs at most once
-	Streams       bool `json:"streams"`        // the answer is a series of pieces
-	Resumable     bool `json:"resumable"`      // a broken stream may go on at another endpoint
-	TimeoutMillis int  `json:"timeout_ms"`     // longest that a request is held; 0: no limit
-	TargetMillis  int  `json:"target_ms"`      // to the answer, or to a stream's first piece; 0: targets.ttft_ms
-	PieceMillis   int  `json:"piece_ms"`       // longest pause between pieces that is in time
-	MaxAttempts   int  `json:"max_attempts"`   // endpoints that one request may run on; 0: limits.max_attempts
-
-	// Regions are those in which the route's requests may be served, cached and stored;
-	// none: any.
+	Streams       bool `json:"streams"`        // the answer is a stream of events
+	Resumable     bool `json:"resumable"`      // an interrupted stream may continue at another endpoint
+	TimeoutMillis int  `json:"timeout_ms"`     // maximum time of a request; 0: no limit
+	TargetMillis  int  `json:"target_ms"`      // to the answer, or to the first event of a stream; 0: targets.ttft_ms
+	PieceMillis   int  `json:"piece_ms"`       // target for the longest pause between events
+	MaxAttempts   int  `json:"max_attempts"`   // endpoints that may run one request; 0: limits.max_attempts
+
+	// Regions are the regions in which the route's requests may be served, cached and
+	// stored; empty: any.
 	Regions []string `json:"regions,omitempty"`
 }
 
-// PoolShare is the part of a route's requests that goes to a pool.
+// PoolShare is the share of a route's requests that goes to a pool.
 type PoolShare struct {
 	Pool   string `json:"pool"`
 	Weight int    `json:"weight"`
 }
 
-// Timeout returns the longest that a request is held, 0 for no limit.
+// Timeout returns the maximum time of a request; 0: no limit.
 func (r *Route) Timeout() time.Duration { return time.Duration(r.TimeoutMillis) * time.Millisecond }
 
 // Repeatable reports whether the route's requests may run more than once.
 func (r *Route) Repeatable() bool { return !r.NotRepeatable && (!r.Streams || r.Resumable) }
 
-// Targets are the service levels that goodput is counted by.
+// Targets are the service levels by which goodput is measured.
 type Targets struct {
 	TTFTMillis int     `json:"ttft_ms"` // time to first token
 	TPOTMillis int     `json:"tpot_ms"` // time per output token after the first
@@ -206,45 +206,46 @@
 // TPOT returns the target time per output token.
 func (t Targets) TPOT() time.Duration { return time.Duration(t.TPOTMillis) * time.Millisecond }
 
-// Weights state what a record keeper minds more. Only their ratio matters.
+// Weights state how much a deployment values goodput and avoiding wasted prefill. Only their
+// ratio matters.
 type Weights struct {
 	Goodput       float64 `json:"goodput"`
 	WastedPrefill float64 `json:"wasted_prefill"`
 }
 
-// Limits bound what callers may ask of one entry host.
+// Limits bound what callers may request from one entry host.
 type Limits struct {
 	BodyBytes      int64   `json:"body_bytes"`
 	BodyReadMillis int     `json:"body_read_ms"`
 	Concurrent     int     `json:"concurrent_requests"`
-	RetryShare     float64 `json:"retry_share"` // retries for each recent success
+	RetryShare     float64 `json:"retry_share"` // retries per recent success
 	MaxAttempts    int     `json:"max_attempts"`
 }
 
-// Policy chooses how decisions are made. Everything but Owner is a baseline
-// to measure against.
+// Policy selects how decisions are made. All modes but ModeOwner are baselines
+// for comparison.
 type Policy struct {
 	Mode PolicyMode `json:"mode"`
-	// Forecast chooses how decode memory is reserved: ForecastHold,
+	// Forecast selects how decode memory is reserved: ForecastHold,
 	// ForecastPlain or ForecastMargin.
 	Forecast Forecast `json:"forecast"`
-	// MarginSD is how many standard deviations of the forecast reservations
-	// keep free; below 0 they overbook. Left out, owners learn it, towards
-	// a share of full engines that the weights set.
+	// MarginSD is the number of standard deviations of the forecast that
+	// reservations keep free; a negative value overbooks. If it is not set, owners
+	// learn a margin that leads to the share of full engines given by the weights.
 	MarginSD *float64 `json:"margin_sd,omitempty"`
-	// LeaseMillis is how long a reservation outlives its holder's last word.
+	// LeaseMillis is how long a reservation is valid after its holder's last message.
 	LeaseMillis int `json:"lease_ms"`
-	// KeyScope says where an idempotency key's home is looked for.
+	// KeyScope selects the failure domains that share idempotency keys.
 	KeyScope KeyScope `json:"key_scope"`
 	// KeyKeepSeconds is how long a key is remembered.
 	KeyKeepSeconds int `json:"key_keep_s"`
 }
 
-// PolicyMode is a way to decide.
+// PolicyMode is a placement algorithm.
 type PolicyMode string
 
-// The ways to decide. ModeLagged, ModeShare and ModeDispatcher are the ways
-// A, B and C of docs/DESIGN.md.
+// The placement algorithms. ModeLagged, ModeShare and ModeDispatcher are the
+// baselines A, B and C of docs/DESIGN.md.
 const (
 	ModeOwner      PolicyMode = "owner"
 	ModeLagged     PolicyMode = "least_load"
@@ -260,20 +261,20 @@
 	return m == ModeOwner || m == ModeShare || m == ModeDispatcher
 }
 
-// Single reports whether the mode has owners that don't follow from endpoints.
+// Single reports whether the mode's owners don't depend on the endpoint.
 func (m PolicyMode) Single() bool { return m == ModeShare || m == ModeDispatcher }
 
-// Forecast is a way to reserve decode memory for the moment it is needed.
+// Forecast is a method of reserving decode memory for the time it is needed.
 type Forecast string
 
-// The ways to reserve.
+// The methods of reserving.
 const (
 	ForecastHold   Forecast = "hold"   // from now on
-	ForecastPlain  Forecast = "plain"  // for the moment the prefill ends
-	ForecastMargin Forecast = "margin" // by the chances of ending sooner or later, with a margin
+	ForecastPlain  Forecast = "plain"  // from the expected end of the prefill
+	ForecastMargin Forecast = "margin" // by the distribution of expected ends, with a margin
 )
 
-// KeyScope says which failure domains share idempotency keys.
+// KeyScope selects which failure domains share idempotency keys.
 type KeyScope string
 
 // The scopes of idempotency keys.
--- a/config/evacuation.go
+++ b/config/evacuation.go
@@ -1,13 +1,13 @@
 package config
 
-// Evacuation says that operators have a failure domain emptied: nothing more is sent to
-// its endpoints until that is taken back.
+// Evacuation is an operator's order to evacuate a failure domain: nothing more is sent to its
+// endpoints until the order is revoked.
 type Evacuation struct {
 	Domain   string
-	Revision Position // when it was published
+	Revision Position // at which it was published
 }
 
-// EvacuationsByDomain returns a list by failure domain; nil for an empty one.
+// EvacuationsByDomain returns a map of the list by failure domain, nil for an empty list.
 func EvacuationsByDomain(list []Evacuation) map[string]Evacuation {
 	if len(list) == 0 {
 		return nil
@@ -19,7 +19,7 @@
 	return out
 }
 
-// Emptied reports whether an endpoint lies in a failure domain that is being emptied.
+// Emptied reports whether an endpoint's failure domain is evacuated.
 func (v *View) Emptied(e *Endpoint) bool {
 	_, emptied := v.Evacuated[e.Domain]
 	return emptied
--- a/config/large_test.go
+++ b/config/large_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// largeSource is a document of so many routes, with a comment or plain.
+// largeSource returns a document with the given number of routes and an optional comment.
 func largeSource(routes int, comment string) []byte {
 	var out bytes.Buffer
 	fmt.Fprintf(&out, `{%s"failure_domains": [{"name": "d", "region": "r"}], "targets": {"ttft_ms": 900, "tpot_ms": 10}, "pools": [{"name": "p", "slots": 4}], "routes": [`, comment)
@@ -20,8 +20,8 @@
 	return out.Bytes()
 }
 
-// TestPlainOrCommented checks that comments change nothing but the source, and
-// that a fault stands where it is written in both.
+// TestPlainOrCommented checks that a document with comments, which takes another path through the
+// parser, gives the same view and the same error positions as a plain one.
 func TestPlainOrCommented(t *testing.T) {
 	plain, err := NewView(1, largeSource(50, ""))
 	if err != nil {
--- a/config/parse.go
+++ b/config/parse.go
@@ -12,12 +12,12 @@
 	"github.com/tailscale/hujson"
 )
 
-// FieldError says which field is at fault and why.
+// FieldError describes an invalid field.
 type FieldError struct {
 	Field string // path such as endpoints[3].address
-	Value string // as written; empty where there is none
-	Cause string // what is allowed
-	Line  int    // 1-based; 0 where the position isn't known
+	Value string // as written; empty if there is none
+	Cause string // what is wrong or what is allowed
+	Line  int    // 1-based; 0 if unknown
 	Col   int
 }
 
@@ -35,7 +35,7 @@
 	return b.String()
 }
 
-// FieldErrors is every fault found in a document, in order of field.
+// FieldErrors is the list of all errors found in a document, in the order of its fields.
 type FieldErrors []*FieldError
 
 // Error implements the error interface.
@@ -47,9 +47,9 @@
 	return strings.Join(lines, "\n")
 }
 
-// ParseDocument reads and checks a document. It is a pure function of the
-// bytes: the document is accepted whole or rejected whole, with FieldErrors
-// or a *FieldError that carries line and column.
+// ParseDocument parses and checks a document. It is a pure function of the bytes: the
+// document is accepted or rejected as a whole. The error is FieldErrors, or a
+// *FieldError with line and column.
 func ParseDocument(src []byte) (*Document, error) {
 	d := new(Document)
 	if err := parse(src, d); err != nil {
@@ -57,23 +57,23 @@
 	}
 	d.setDefaults()
 	if errs := d.check(); len(errs) > 0 {
-		locate(src, errs)
+		setPositions(src, errs)
 		return nil, errs
 	}
 	return d, nil
 }
 
-// parse reads JSON with comments into v and refuses unknown fields with the
-// nearest known name.
+// parse decodes JSON with comments into v. Unknown fields are errors that suggest the nearest
+// known name.
 func parse(src []byte, v any) error {
-	std, err := standard(src)
+	std, err := standardize(src)
 	if err != nil {
 		return &FieldError{Field: "document", Cause: err.Error()}
 	}
 	dec := json.NewDecoder(bytes.NewReader(std))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(v); err != nil {
-		return explain(src, v, err, dec.InputOffset())
+		return toFieldError(src, v, err, dec.InputOffset())
 	}
 	if dec.More() {
 		line, col := position(src, dec.InputOffset())
@@ -82,22 +82,22 @@
 	return nil
 }
 
-// standard returns JSON with comments as plain JSON of the same length. What is
-// plain already, as documents are that programs publish, isn't parsed for it: that
-// takes more than half of the time of a large document.
-func standard(src []byte) ([]byte, error) {
+// standardize converts JSON with comments to plain JSON of the same length. Input that is
+// already plain, as documents published by programs are, is returned as it is: the
+// conversion takes more than half of the time of loading a large document.
+func standardize(src []byte) ([]byte, error) {
 	if json.Valid(src) {
 		return src, nil
 	}
 	return hujson.Standardize(append([]byte(nil), src...))
 }
 
-// explain turns an error of encoding/json into a FieldError.
-func explain(src []byte, v any, err error, offset int64) error {
-	var wrong *json.UnmarshalTypeError
-	if errors.As(err, &wrong) {
-		line, col := position(src, wrong.Offset)
-		return &FieldError{Field: wrong.Field, Value: wrong.Value, Cause: "want " + wrong.Type.String(), Line: line, Col: col}
+// toFieldError converts an error of encoding/json to a FieldError.
+func toFieldError(src []byte, v any, err error, offset int64) error {
+	var typeErr *json.UnmarshalTypeError
+	if errors.As(err, &typeErr) {
+		line, col := position(src, typeErr.Offset)
+		return &FieldError{Field: typeErr.Field, Value: typeErr.Value, Cause: "want " + typeErr.Type.String(), Line: line, Col: col}
 	}
 	if name, ok := strings.CutPrefix(err.Error(), "json: unknown field "); ok {
 		name = strings.Trim(name, `"`)
@@ -124,9 +124,9 @@
 	return line, col
 }
 
-// locate fills in positions of checked fields as well as hujson can find
-// them: by the JSON pointer that the field's path stands for.
-func locate(src []byte, errs FieldErrors) {
+// setPositions sets the positions of errors, as far as hujson finds them by the JSON pointer that
+// corresponds to the field's path or to the longest existing prefix of it.
+func setPositions(src []byte, errs FieldErrors) {
 	root, err := hujson.Parse(src)
 	if err != nil {
 		return
@@ -173,7 +173,7 @@
 	return names
 }
 
-// maxSuggestDistance is how many edits a typo may be away to be suggested.
+// maxSuggestDistance is the maximum edit distance of a suggested name.
 const maxSuggestDistance = 3
 
 func nearest(name string, known []string) string {
@@ -186,8 +186,8 @@
 	return best
 }
 
-// editDistance counts the bytes to add, drop, change or swap with their
-// neighbour that make a into b.
+// editDistance returns the number of bytes to insert, delete, replace or swap with their
+// neighbour to turn a into b.
 func editDistance(a, b string) int {
 	rows := make([][]int, len(a)+1)
 	for i := range rows {
--- a/config/position.go
+++ b/config/position.go
@@ -7,15 +7,16 @@
 	"github.com/pkg/errors"
 )
 
-// Position is a moment in the history of a store, which later ones are higher than. It is an era
-// and a revision: a store that comes back from a copy begins an era, in which it gives out
-// revisions again that it had given out before. 0 is before anything.
+// Position is a point in the history of a store; later ones are higher. It consists of an era and
+// a revision. A store that is restored from a backup begins a new era, because it assigns revisions
+// again that it had assigned before. 0 is before any other position.
 type Position uint64
 
-// revisionBits is how many bits of a position are its revision; those above are its era.
+// revisionBits is the number of low bits of a position that hold the revision; the high bits
+// hold the era.
 const revisionBits = 48
 
-// Bounds of what makes up a position.
+// Maximum values of the parts of a position.
 const (
 	MostEra      = 1<<(64-revisionBits) - 1
 	MostRevision = 1<<revisionBits - 1
@@ -32,10 +33,10 @@
 	return Position(era<<revisionBits | revision), nil
 }
 
-// Era returns the era; 0: the store doesn't tell it.
+// Era returns the era; 0: the store doesn't report one.
 func (p Position) Era() uint64 { return uint64(p) >> revisionBits }
 
-// Revision returns the revision, which has a meaning within its era alone.
+// Revision returns the revision, which is only meaningful within its era.
 func (p Position) Revision() uint64 { return uint64(p) & MostRevision }
 
 // MarshalJSON implements json.Marshaler.
@@ -46,7 +47,7 @@
 	return []byte(strconv.Quote(p.String())), nil
 }
 
-// UnmarshalJSON implements json.Unmarshaler: it reads what MarshalJSON and logs write.
+// UnmarshalJSON implements json.Unmarshaler. It accepts the output of MarshalJSON and of String.
 func (p *Position) UnmarshalJSON(src []byte) error {
 	era, revision, told := strings.Cut(strings.Trim(string(src), `"`), "/")
 	if !told {
@@ -64,8 +65,8 @@
 	return errors.Wrapf(err, "position %s", src)
 }
 
-// String returns the position as operators see it: era/revision, or the revision alone where no
-// era is told.
+// String returns the position as shown to operators: era/revision, or only the revision if there
+// is no era.
 func (p Position) String() string {
 	revision := strconv.FormatUint(p.Revision(), 10)
 	if p.Era() == 0 {
--- a/config/position_test.go
+++ b/config/position_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestPosition checks the order of positions, and how they are written and read.
+// TestPosition checks the order of positions and their JSON and text forms.
 func TestPosition(t *testing.T) {
 	before := Position(0)
 	for _, tc := range []struct {
@@ -34,14 +34,14 @@
 		before = p
 	}
 	if _, err := At(MostEra+1, 0); err == nil {
-		t.Error("an era too high is taken")
+		t.Error("an era above the maximum is accepted")
 	}
 	if _, err := At(0, MostRevision+1); err == nil {
-		t.Error("a revision too high is taken")
+		t.Error("a revision above the maximum is accepted")
 	}
 	for _, src := range []string{`""`, `"1/"`, `"/1"`, `"x"`, `-1`, `"1/2/3"`, `281474976710656`, `"65536/1"`} {
 		if err := json.Unmarshal([]byte(src), new(Position)); err == nil {
-			t.Errorf("%s is read", src)
+			t.Errorf("%s is accepted", src)
 		}
 	}
 }
--- a/config/region.go
+++ b/config/region.go
@@ -7,24 +7,24 @@
 	"strconv"
 )
 
-// Regions is a set of regions by their place in View.RegionNames, so that a decision
-// among hundreds of endpoints compares no names.
+// Regions is a set of regions, as bits by index in View.RegionNames, so that a decision among
+// hundreds of endpoints compares no names.
 type Regions uint64
 
-// mostRegions is how many regions a document may name; one bit more stands for none.
-const mostRegions = 63
+// maxRegions is the maximum number of regions of a document; the remaining bit is noRegion.
+const maxRegions = 63
 
-// noRegion is a set that no region is in, and that is not empty: an empty set of homes
-// binds nothing.
-const noRegion Regions = 1 << mostRegions
+// noRegion is a set without any region that differs from the empty set, because an empty set of
+// allowed regions means no restriction.
+const noRegion Regions = 1 << maxRegions
 
-// Has reports whether any region of the other set is in the set.
+// Has reports whether the sets have a region in common.
 func (s Regions) Has(other Regions) bool { return s&other != 0 }
 
-// Len returns how many regions are in the set.
+// Len returns the number of regions in the set.
 func (s Regions) Len() int { return bits.OnesCount64(uint64(s &^ noRegion)) }
 
-// indexRegions lists the regions in the order in which failure domains name them.
+// indexRegions collects the regions in the order in which failure domains name them.
 func (v *View) indexRegions() {
 	v.RegionNames = nil
 	for _, d := range v.Doc.Domains {
@@ -34,7 +34,7 @@
 	}
 }
 
-// countRegions returns how many regions failure domains lie in.
+// countRegions returns the number of regions of the failure domains.
 func countRegions(rows []Domain) int {
 	seen := map[string]bool{}
 	for _, d := range rows {
@@ -43,37 +43,37 @@
 	return len(seen)
 }
 
-// RegionSet returns the set of the regions of these names. Names that no failure domain
-// has are left out.
+// RegionSet returns the set of the named regions. Names that no failure domain uses are ignored.
 func (v *View) RegionSet(names ...string) (s Regions) {
 	for i, r := range v.RegionNames {
-		if i < mostRegions && slices.Contains(names, r) {
+		if i < maxRegions && slices.Contains(names, r) {
 			s |= 1 << i
 		}
 	}
 	return s
 }
 
-// Homes returns the regions in which a team's requests of a route may be served, cached
-// and stored; 0: in any. Where both name some, both bind.
+// Homes returns the regions in which a team's requests on a route may be served, cached and
+// stored; 0: any. If both the route and the team name regions, only those named by both are
+// allowed.
 func (v *View) Homes(r *Route, t *Team) Regions {
-	var homes Regions
+	var allowed Regions
 	for _, names := range [][]string{r.Regions, t.Regions} {
 		if len(names) == 0 {
 			continue
 		}
 		set := v.RegionSet(names...)
-		if homes != 0 {
-			set &= homes
+		if allowed != 0 {
+			set &= allowed
 		}
-		if homes = set; homes == 0 {
+		if allowed = set; allowed == 0 {
 			return noRegion
 		}
 	}
-	return homes
+	return allowed
 }
 
-// regions checks the names of regions that bind a route or a team.
+// regions checks the region names of a route or a team.
 func (c *checker) regions(field string, names []string, known []Domain) {
 	seen := map[string]bool{}
 	for i, name := range names {
@@ -86,7 +86,7 @@
 	}
 }
 
-// suggestRegion returns a hint at the region that a mistyped name is near to.
+// suggestRegion returns a hint at the region whose name is most similar to a mistyped one, or "".
 func suggestRegion(name string, known []Domain) string {
 	var names []string
 	for _, d := range known {
--- a/config/region_test.go
+++ b/config/region_test.go
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-// homeDocument has three regions; the gaps are the regions of a route and of a team.
-const homeDocument = `{"failure_domains": [{"name": "a1", "region": "north"}, {"name": "a2", "region": "north"}, {"name": "b", "region": "south"}, {"name": "c", "region": "west"}],
+// regionsDocument has three regions; its format verbs are for the regions of a route and of a team.
+const regionsDocument = `{"failure_domains": [{"name": "a1", "region": "north"}, {"name": "a2", "region": "north"}, {"name": "b", "region": "south"}, {"name": "c", "region": "west"}],
 	"pools": [{"name": "web", "slots": 4}],
 	"routes": [{"name": "x", "host": "h", "path_prefix": "/", "pools": [{"pool": "web"}], "regions": [%s]}],
 	"teams": [{"name": "t", "regions": [%s]}],
 	"targets": {"ttft_ms": 1000, "tpot_ms": 100}}`
 
-// TestHomes checks which regions a request is bound to by its route and its team.
+// TestHomes checks which regions a request may be served in, given those of its route and its team.
 func TestHomes(t *testing.T) {
 	for _, tc := range []struct{ route, team, want string }{
 		{"", "", ""},
@@ -23,25 +23,25 @@
 		{`"north"`, `"south"`, "nowhere"},
 	} {
 		t.Run(tc.route+"/"+tc.team, func(t *testing.T) {
-			v, err := NewView(1, fmt.Appendf(nil, homeDocument, tc.route, tc.team))
+			v, err := NewView(1, fmt.Appendf(nil, regionsDocument, tc.route, tc.team))
 			if err != nil {
 				t.Fatal(err)
 			}
-			homes := v.Homes(&v.Doc.Routes[0], v.Teams["t"])
-			if (homes == 0) != (tc.want == "") {
-				t.Fatalf("homes %b, want %q", homes, tc.want)
+			allowed := v.Homes(&v.Doc.Routes[0], v.Teams["t"])
+			if (allowed == 0) != (tc.want == "") {
+				t.Fatalf("allowed regions %b, want %q", allowed, tc.want)
 			}
 			for _, name := range []string{"north", "south", "west"} {
-				if homes.Has(v.RegionSet(name)) != strings.Contains(tc.want, name) {
-					t.Errorf("%s is a home: %v, want %q", name, homes.Has(v.RegionSet(name)), tc.want)
+				if allowed.Has(v.RegionSet(name)) != strings.Contains(tc.want, name) {
+					t.Errorf("%s is allowed: %v, want %q", name, allowed.Has(v.RegionSet(name)), tc.want)
 				}
 			}
 		})
 	}
 }
 
-// TestUnknownRegion checks that a region that no failure domain lies in is named with its
-// place and what was probably meant.
+// TestUnknownRegion checks that a region that no failure domain uses is rejected with its position
+// and a suggestion.
 func TestUnknownRegion(t *testing.T) {
 	for _, tc := range []struct{ route, team, want string }{
 		{`"noth"`, "", `3:`},
@@ -49,7 +49,7 @@
 		{"", `"south", "elsewhere"`, `teams[0].regions[1] = "elsewhere": is no region of failure_domains`},
 		{`"south", "south"`, "", `routes[0].regions[1] = "south": is used twice`},
 	} {
-		_, err := NewView(1, fmt.Appendf(nil, homeDocument, tc.route, tc.team))
+		_, err := NewView(1, fmt.Appendf(nil, regionsDocument, tc.route, tc.team))
 		if err == nil || !strings.Contains(err.Error(), tc.want) {
 			t.Errorf("got %v, want %q", err, tc.want)
 		}
--- a/config/roster.go
+++ b/config/roster.go
@@ -9,11 +9,11 @@
 	"github.com/embercove/embercove/internal/trie"
 )
 
-// Endpoints are endpoints by the numbers of their names. What is in them is never changed.
+// Endpoints maps the numbers of names to endpoints, which must not be modified.
 type Endpoints = trie.Map[Endpoint]
 
-// EndpointsOf returns a list by number. Where two names have one number, which messages
-// couldn't tell apart, the first by name stays.
+// EndpointsOf returns a map of the list by number. If two names have the same number, messages
+// couldn't distinguish them, so only the first by name is kept.
 func EndpointsOf(list []*Endpoint) Endpoints {
 	kept := make(map[uint32]*Endpoint, len(list))
 	for _, e := range list {
@@ -25,10 +25,10 @@
 	return trie.Collect(maps.All(kept))
 }
 
-// displaced reports whether another endpoint holds the number of e's name, and keeps it.
+// displaced reports whether another endpoint with the number of e's name has precedence.
 func (e *Endpoint) displaced(other *Endpoint) bool { return other != nil && other.Name < e.Name }
 
-// Put returns the endpoints with e in them, unless another keeps its number.
+// Put returns the endpoints with e added, unless another endpoint with its number has precedence.
 func Put(to Endpoints, e *Endpoint) Endpoints {
 	number := NameNumber(e.Name)
 	if e.displaced(to.Get(number)) {
@@ -37,8 +37,8 @@
 	return to.With(number, e)
 }
 
-// Apply returns the endpoints with others in the places of some numbers; nil: none. Where
-// most are replaced it builds them anew, which takes far less than one after the other.
+// Apply returns the endpoints with some replaced by number, or removed where the change is nil.
+// If most are replaced it rebuilds the map, which is much cheaper than single changes.
 func Apply(to Endpoints, changes map[uint32]*Endpoint) Endpoints {
 	if 2*len(changes) < to.Len() {
 		for number, e := range changes {
@@ -61,7 +61,7 @@
 	return trie.Collect(maps.All(rows))
 }
 
-// Remove returns the endpoints without the one of a name.
+// Remove returns the endpoints without the named one.
 func Remove(from Endpoints, name string) Endpoints {
 	number := NameNumber(name)
 	if e := from.Get(number); e == nil || e.Name != name {
@@ -70,37 +70,37 @@
 	return from.Without(number)
 }
 
-// Roster is the set of endpoints that registered themselves, and the failure domains
-// that are being emptied, as of one revision of wherever that is published. Unlike a
-// document it changes with every endpoint that comes, changes or goes.
+// Roster is the set of self-registered endpoints and of evacuated failure domains, as of one
+// revision of the store. Unlike a document it changes whenever an endpoint is added, changes
+// or is removed.
 type Roster struct {
 	Revision  Position
 	Endpoints Endpoints
-	Evacuated []Evacuation // one for each failure domain, known to a document or not
+	Evacuated []Evacuation // at most one per failure domain, also of domains not in the document
 }
 
-// Lapsed knows which endpoints of a roster are without a registration, while the roster
-// changes. The zero value knows none.
-type Lapsed struct{ of map[uint32]*Endpoint }
+// Lapsed tracks the endpoints of a roster whose registrations have expired. The zero value is
+// empty.
+type Lapsed struct{ byNumber map[uint32]*Endpoint }
 
-// Note takes in that the endpoint of a number is another one; nil: it is gone.
+// Note records the new endpoint of a number, or nil if it was removed.
 func (l *Lapsed) Note(number uint32, now *Endpoint) {
 	if now == nil || now.Lapsed.IsZero() {
-		delete(l.of, number)
+		delete(l.byNumber, number)
 		return
 	}
-	if l.of == nil {
-		l.of = map[uint32]*Endpoint{}
+	if l.byNumber == nil {
+		l.byNumber = map[uint32]*Endpoint{}
 	}
-	l.of[number] = now
+	l.byNumber[number] = now
 }
 
 // All returns the endpoints.
-func (l *Lapsed) All() []*Endpoint { return slices.Collect(maps.Values(l.of)) }
+func (l *Lapsed) All() []*Endpoint { return slices.Collect(maps.Values(l.byNumber)) }
 
-// Expired returns those that count as gone.
+// Expired returns the endpoints that count as gone.
 func (l *Lapsed) Expired(now time.Time) (out []*Endpoint) {
-	for _, e := range l.of {
+	for _, e := range l.byNumber {
 		if e.Expired(now) {
 			out = append(out, e)
 		}
@@ -108,8 +108,8 @@
 	return out
 }
 
-// CheckRegistered returns what is wrong with an endpoint that registered
-// itself, or nil. Sizes are not checked: a pool gives them.
+// CheckRegistered checks a self-registered endpoint. Sizes are not checked, because the pool
+// provides them.
 func CheckRegistered(e *Endpoint) error {
 	var c checker
 	c.name("name", e.Name)
@@ -123,10 +123,10 @@
 	return nil
 }
 
-// WithRoster returns a view of the same document with the endpoints of r
-// beside the document's own. Endpoints of pools or failure domains that the
-// document doesn't know are left out until it does. It takes as long as the endpoints
-// are many that differ from the view's roster, however many there are in all.
+// WithRoster returns a view of the same document with the endpoints of r in addition to the
+// document's own. Endpoints of pools or failure domains that the document doesn't contain are
+// left out until it does. The cost depends on the number of endpoints that differ from the view's
+// roster, not on their total number.
 func (v *View) WithRoster(r *Roster) *View {
 	if r == nil {
 		return v
@@ -138,13 +138,12 @@
 		return &out
 	}
 	out.byDomain = slices.Clone(v.byDomain)
-	trie.Diff(v.roster.Endpoints, r.Endpoints, func(number uint32, _, now *Endpoint) { out.replace(number, out.registered(now)) })
+	trie.Diff(v.roster.Endpoints, r.Endpoints, func(number uint32, _, now *Endpoint) { out.replaceEndpoint(number, out.completeFromPool(now)) })
 	return &out
 }
 
-// WithRosterOf returns a view with the roster of another view, of another document. Where
-// the documents say the same of pools, failure domains and endpoints of their own, what the
-// other view holds of endpoints is taken over.
+// WithRosterOf returns a view with the roster of a view of another document. If the documents have
+// the same pools, failure domains and endpoints, the other view's index of endpoints is reused.
 func (v *View) WithRosterOf(other *View) *View {
 	if other == nil || !v.sameLayout(other) {
 		return v.WithRoster(other.rosterOrNone())
@@ -162,7 +161,8 @@
 	return v.roster
 }
 
-// layout is what a document says of endpoints. Views that share one lay them out alike.
+// layout is the part of a document that determines the index of endpoints. Views with the same
+// layout and roster have the same index.
 type layout struct {
 	pools     []Pool
 	domains   []Domain
@@ -171,11 +171,11 @@
 
 func (v *View) sameLayout(other *View) bool { return reflect.DeepEqual(v.layout, other.layout) }
 
-// SharesLayout reports whether another view lays out endpoints alike, so that only those
-// which differ between the views have to be looked at.
+// SharesLayout reports whether another view has the same layout, so that only the endpoints that
+// differ between the views have to be considered.
 func (v *View) SharesLayout(other *View) bool { return other != nil && v.layout == other.layout }
 
-// indexEndpoints fills in the endpoints of the document and the roster.
+// indexEndpoints builds the index of the endpoints of the document and the roster.
 func (v *View) indexEndpoints() {
 	known := make([]*Endpoint, 0, len(v.Doc.Endpoints))
 	for i := range v.Doc.Endpoints {
@@ -183,40 +183,40 @@
 	}
 	if v.roster != nil {
 		for _, e := range v.roster.Endpoints.All() {
-			if e = v.registered(e); e != nil {
+			if e = v.completeFromPool(e); e != nil {
 				known = append(known, e)
 			}
 		}
 	}
 	v.Endpoints = EndpointsOf(known)
-	in := make([][]*Endpoint, len(v.Doc.Domains))
+	lists := make([][]*Endpoint, len(v.Doc.Domains))
 	for _, e := range known {
 		if i := v.DomainIndex(e.Domain); i >= 0 {
-			in[i] = append(in[i], e)
+			lists[i] = append(lists[i], e)
 		}
 	}
-	v.byDomain = make([]Endpoints, len(in))
-	for i := range in {
-		v.byDomain[i] = EndpointsOf(in[i])
+	v.byDomain = make([]Endpoints, len(lists))
+	for i := range lists {
+		v.byDomain[i] = EndpointsOf(lists[i])
 	}
 }
 
-// registered returns an endpoint of the roster with what its pool states; nil: the
-// document doesn't know its pool or its failure domain.
-func (v *View) registered(e *Endpoint) *Endpoint {
+// completeFromPool returns an endpoint of the roster completed by its pool, or nil if the document
+// doesn't contain its pool or its failure domain.
+func (v *View) completeFromPool(e *Endpoint) *Endpoint {
 	if e == nil || v.Pools[e.Pool] == nil || v.DomainIndex(e.Domain) < 0 {
 		return nil
 	}
-	whole := *e
-	whole.take(v.Pools[e.Pool])
-	return &whole
+	out := *e
+	out.applyPool(v.Pools[e.Pool])
+	return &out
 }
 
-// replace puts an endpoint in the place of that of its number; nil: it takes it out.
-func (v *View) replace(number uint32, e *Endpoint) {
+// replaceEndpoint replaces the endpoint of a number, or removes it if e is nil.
+func (v *View) replaceEndpoint(number uint32, e *Endpoint) {
 	old := v.Endpoints.Get(number)
 	if old != nil && !old.Registered {
-		return // the document's own stays
+		return // the document's endpoints have precedence
 	}
 	if old != nil && (e == nil || e.Domain != old.Domain) {
 		i := v.DomainIndex(old.Domain)
@@ -239,7 +239,7 @@
 	return Endpoints{}
 }
 
-// Endpoint returns the endpoint of a name, or nil.
+// Endpoint returns the named endpoint, or nil.
 func (v *View) Endpoint(name string) *Endpoint {
 	if e := v.Endpoints.Get(NameNumber(name)); e != nil && e.Name == name {
 		return e
@@ -247,8 +247,8 @@
 	return nil
 }
 
-// take fills in what the pool states and the endpoint doesn't.
-func (e *Endpoint) take(p *Pool) {
+// applyPool sets the properties that the pool states and the endpoint doesn't.
+func (e *Endpoint) applyPool(p *Pool) {
 	e.Registered = true
 	setInt(&e.MemoryTokens, p.MemoryTokens)
 	setInt(&e.Slots, max(1, p.Slots))
@@ -270,8 +270,8 @@
 	e.GrowsMemory = p.Engines()
 }
 
-// Differing calls f for each endpoint that differs between two views of one layout, by its
-// number, with that of the later view; nil: it is gone.
+// Differing calls f for each endpoint that differs between two views of one layout, with its
+// number and the later view's endpoint, which is nil if the endpoint was removed.
 func Differing(old, now *View, f func(number uint32, e *Endpoint)) {
 	trie.Diff(old.Endpoints, now.Endpoints, func(number uint32, _, e *Endpoint) { f(number, e) })
 }
--- a/config/selector.go
+++ b/config/selector.go
@@ -5,15 +5,14 @@
 	"k8s.io/apimachinery/pkg/labels"
 )
 
-// Selector is a parsed label selector. The zero value matches nothing, so
-// that a forgotten selector opens no endpoint.
+// Selector is a parsed label selector. The zero value matches nothing, so that a missing
+// selector doesn't open any endpoint.
 type Selector struct {
 	sel labels.Selector
 }
 
-// ParseSelector reads a selector in the syntax that operators know from
-// Kubernetes: "app=docket,tier in (gold,silver),!legacy". An empty text is
-// an error; "*" matches everything.
+// ParseSelector parses a selector in the syntax of Kubernetes, such as
+// "app=docket,tier in (gold,silver),!legacy". "*" matches everything; an empty text is an error.
 func ParseSelector(text string) (Selector, error) {
 	if text == "*" {
 		return Selector{labels.Everything()}, nil
--- a/config/settings.go
+++ b/config/settings.go
@@ -5,77 +5,77 @@
 	"time"
 )
 
-// Settings are what one process is started with. Everything else comes from
-// the platform or from peers.
+// Settings are the start-up settings of one process. Everything else comes from the platform
+// or from peers.
 type Settings struct {
 	Host    string `json:"host"`           // unique name of the entry host
-	Domain  string `json:"failure_domain"` // the failure domain it stands in
+	Domain  string `json:"failure_domain"` // the failure domain of the host
 	Region  string `json:"region"`
 	Callers string `json:"callers_address"` // IP:port of the caller listener
 	Peers   string `json:"peers_address"`   // IP:port of the net/rpc listener
-	// PeersAnnounced is the IP:port at which other hosts reach the net/rpc listener
-	// where something stands before it; empty: peers_address.
+	// PeersAnnounced is the IP:port at which other hosts reach the net/rpc listener if that
+	// differs, for example behind a proxy; empty: peers_address.
 	PeersAnnounced string `json:"peers_announced"`
 
 	Admin    string `json:"admin_address"` // IP:port of the admin listener
 	Platform string `json:"platform_address"`
-	Metrics  string `json:"metrics_address"` // IP:port that serves the metrics as well; empty: the admin listener alone
-	// Seeds are peer addresses to ask before the platform's list is known.
+	Metrics  string `json:"metrics_address"` // IP:port that serves metrics too; empty: only the admin listener does
+	// Seeds are peer addresses to contact before the platform's list is known.
 	Seeds []string `json:"seeds"`
 
 	HeartbeatMillis int    `json:"heartbeat_ms"`
-	SuspectMillis   int    `json:"suspect_ms"` // silence after which a host is taken for gone
-	PollMillis      int    `json:"poll_ms"`    // state polls of owned endpoints
-	ListMillis      int    `json:"list_ms"`    // polls of the endpoint's request list
-	GraceMillis     int    `json:"grace_ms"`   // before work of a gone host is cancelled
+	SuspectMillis   int    `json:"suspect_ms"` // silence after which a host counts as gone
+	PollMillis      int    `json:"poll_ms"`    // interval of state polls of owned endpoints
+	ListMillis      int    `json:"list_ms"`    // interval of polls of an endpoint's request list
+	GraceMillis     int    `json:"grace_ms"`   // delay before the work of a gone host is cancelled
 	RPCMillis       int    `json:"rpc_timeout_ms"`
-	PauseMillis     int    `json:"pause_ms"` // a longer gap in a loop means the process was paused
+	PauseMillis     int    `json:"pause_ms"` // a longer gap between checks means that the process was paused
 	DrainSeconds    int    `json:"drain_s"`
-	LameDuckMillis  int    `json:"lame_duck_ms"` // requests are still taken after readiness went
+	LameDuckMillis  int    `json:"lame_duck_ms"` // requests are still accepted for this time after readiness ends
 	Workers         int    `json:"workers"`
-	MaxConnections  int    `json:"max_connections"`  // of callers at once; more wait to be accepted
-	MaxHeaderBytes  int    `json:"max_header_bytes"` // of a call
+	MaxConnections  int    `json:"max_connections"`  // of callers at once; further ones wait to be accepted
+	MaxHeaderBytes  int    `json:"max_header_bytes"` // of a request
 	LogLevel        string `json:"log_level"`
-	StallMillis     int    `json:"stall_ms"` // a transfer without progress for so long is stalled
+	StallMillis     int    `json:"stall_ms"` // a transfer counts as stalled after this time without progress
 
-	// Protocol is what callers, endpoints and the platform speak: ProtocolOwn
+	// Protocol is the protocol of callers, endpoints and the platform: ProtocolOwn
 	// or ProtocolPlatform.
 	Protocol string `json:"protocol"`
 	// Domains lists the failure domains, for platforms that publish none.
 	Domains []Domain `json:"failure_domains"`
-	// RetryBudget bounds further calls for all hosts together.
+	// RetryBudget bounds the repeated calls of all hosts together.
 	RetryBudget RetryBudget `json:"retry_budget"`
-	// QuotaTolerance is how much more of a team's quota than its rate and burst may be
-	// let in, in units of quotas, before operators object.
+	// QuotaTolerance is how much may be admitted in excess of a team's rate and burst,
+	// in the quota's unit, before operators object.
 	QuotaTolerance float64 `json:"quota_tolerance"`
-	// ColdOverrun and ColdTolerance say how many requests a second a cold endpoint may
-	// be sent before operators object: what it bears times the first, and the second
-	// beyond that. 0 stands for an overrun of 1.
+	// ColdOverrun and ColdTolerance define how many requests a second a cold endpoint may
+	// be sent before operators object: its cold rate times the first, plus the second. 0
+	// stands for an overrun of 1.
 	ColdOverrun   float64 `json:"cold_overrun"`
 	ColdTolerance float64 `json:"cold_tolerance"`
-	// GraceSeconds is what a planned stop may take before the process is
-	// killed; 0: drain_s and lame_duck_ms hold as they stand.
+	// GraceSeconds is how long a planned stop may take before the process is
+	// killed; 0: drain_s and lame_duck_ms apply unchanged.
 	GraceSeconds float64 `json:"stop_grace_s"`
 	// ChangeMillis is the time within which a published change has to be in
-	// force everywhere; 0: unknown. It and the sizes below come from the platform,
+	// force on all hosts; 0: unknown. It and the sizes below come from the platform,
 	// which may state them with fractions.
 	ChangeMillis    float64 `json:"change_ms"`
-	MemoryMegabytes float64 `json:"memory_mb"`        // that the process may use; 0: DefaultMemoryMegabytes
-	Descriptors     float64 `json:"file_descriptors"` // that the process may open; 0: unknown
+	MemoryMegabytes float64 `json:"memory_mb"`        // memory limit of the process; 0: DefaultMemoryMegabytes
+	Descriptors     float64 `json:"file_descriptors"` // limit of open file descriptors; 0: unknown
 }
 
-// What a process may speak to the outside.
+// The protocols.
 const (
 	ProtocolOwn      = "embercove"
 	ProtocolPlatform = "platform"
 )
 
-// RetryBudget is a number of further calls to a pool of endpoints, beyond the
-// first of each request, that all hosts together may make in a sliding window.
+// RetryBudget bounds the calls to a pool of endpoints, beyond the first of each request,
+// that all hosts together may make in a sliding window.
 type RetryBudget struct {
 	Share   float64 `json:"share"`    // of the requests in the window
-	Seconds float64 `json:"window_s"` // length of the window; 0: no such budget
-	Extra   float64 `json:"extra"`    // beyond the share, for all hosts together; any number, as each host has its part
+	Seconds float64 `json:"window_s"` // length of the window; 0: no budget
+	Extra   float64 `json:"extra"`    // beyond the share, for all hosts together; a fraction is allowed, as hosts divide it
 }
 
 // Window returns the length of the window.
@@ -99,7 +99,7 @@
 	DefaultMemoryMegabytes = 512
 )
 
-// ParseSettings reads and checks settings; errors are as for ParseDocument.
+// ParseSettings parses and checks settings. Errors are as for ParseDocument.
 func ParseSettings(src []byte) (*Settings, error) {
 	s := new(Settings)
 	if err := parse(src, s); err != nil {
@@ -107,13 +107,13 @@
 	}
 	s.SetDefaults()
 	if errs := s.Check(); len(errs) > 0 {
-		locate(src, errs)
+		setPositions(src, errs)
 		return nil, errs
 	}
 	return s, nil
 }
 
-// SetDefaults fills in the fields that were left at zero.
+// SetDefaults sets fields that are zero to their defaults.
 func (s *Settings) SetDefaults() {
 	setInt(&s.HeartbeatMillis, DefaultHeartbeatMillis)
 	setInt(&s.SuspectMillis, DefaultSuspectMillis)
@@ -138,11 +138,11 @@
 		s.Protocol = ProtocolOwn
 	}
 	if s.Descriptors > 0 {
-		s.MaxConnections = min(s.MaxConnections, int(callersPart*s.Descriptors))
+		s.MaxConnections = min(s.MaxConnections, int(callersDescriptorShare*s.Descriptors))
 	}
 }
 
-// PeersAt returns the address by which other hosts know this one.
+// PeersAt returns the address at which other hosts reach this one.
 func (s *Settings) PeersAt() string {
 	if s.PeersAnnounced != "" {
 		return s.PeersAnnounced
@@ -150,7 +150,7 @@
 	return s.Peers
 }
 
-// Check returns every fault of s.
+// Check returns all errors in s.
 func (s *Settings) Check() FieldErrors {
 	var c checker
 	c.name("host", s.Host)
@@ -201,17 +201,17 @@
 	return c.errs
 }
 
-// callersPart is the part of the descriptors that callers' connections may
-// take; calls to endpoints and peers need the rest.
-const callersPart = 0.5
+// callersDescriptorShare is the share of file descriptors for connections of callers. The rest
+// is needed for calls to endpoints and peers.
+const callersDescriptorShare = 0.5
 
-// Millis converts a field in milliseconds.
+// Millis converts milliseconds to a duration.
 func Millis(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// FractionMillis converts a field in milliseconds that may be no whole number.
+// FractionMillis converts milliseconds with a fraction to a duration.
 func FractionMillis(n float64) time.Duration { return time.Duration(n * float64(time.Millisecond)) }
 
-// checkAddress reports why s is not an IP:port literal, or "".
+// checkAddress returns why s is not an IP:port literal, or "" if it is.
 func checkAddress(s string) string {
 	if _, err := netip.ParseAddrPort(s); err != nil {
 		return "want IP:port with an IP number; host names are not allowed"
--- a/config/team.go
+++ b/config/team.go
@@ -13,27 +13,26 @@
 	Weight        int               `json:"weight"`         // share of a contended queue; 0 means 1
 	MaxConcurrent int               `json:"max_concurrent"` // on each entry host; 0: no limit
 	Labels        map[string]string `json:"labels"`
-	// KeysSHA256 are the digests of the team's keys, in hex. A request that
-	// carries one of them is the team's. A team without keys is named by its
-	// callers; so the keys themselves stand in no document, log or message.
+	// KeysSHA256 are the digests of the team's keys, in hex. A request with one of the
+	// keys belongs to the team. Callers of a team without keys name the team. The keys
+	// themselves never appear in a document, log or message.
 	KeysSHA256 []string `json:"keys_sha256"`
-	// Priority goes before that of routes; nil: the route's.
+	// Priority overrides the priority of routes; nil: the route's.
 	Priority *int `json:"priority,omitempty"`
 
-	// Regions bind the team's requests as those of a route do; where both stand, both bind.
+	// Regions restrict the team's requests as those of a route do. If both are set, both apply.
 	Regions []string `json:"regions,omitempty"`
 
-	// Quota bounds what the team may ask over all hosts together.
+	// Quota bounds the team's requests to all hosts together.
 	Quota Quota `json:"quota"`
 }
 
-// Quota is how much a team may ask: in any span its rate times the span, and the
-// burst on top.
+// Quota bounds a team's use: in any period, the rate times its length plus the burst.
 type Quota struct {
 	Unit  QuotaUnit `json:"unit"`
 	Rate  float64   `json:"rate"`  // units a second; 0: no limit
 	Burst float64   `json:"burst"` // units
-	// PlainTokens is what a request counts as that states no tokens.
+	// PlainTokens is the cost of a request that states no tokens.
 	PlainTokens int `json:"plain_tokens"`
 }
 
@@ -42,27 +41,27 @@
 
 // The units of quotas.
 const (
-	QuotaRequests QuotaUnit = "requests" // also if left out
+	QuotaRequests QuotaUnit = "requests" // also the default
 	QuotaTokens   QuotaUnit = "tokens"   // of prompt and answer together
 )
 
-// mostTokens bounds what one request may state, so that no sum overflows.
-const mostTokens = 1 << 30
+// maxRequestTokens is the maximum number of tokens counted for one request, so that sums don't overflow.
+const maxRequestTokens = 1 << 30
 
-// Cost returns what a request counts as, by the tokens of its prompt and the most
-// that its answer may have. Below 1 in all they count as not stated.
+// Cost returns the cost of a request from the tokens of its prompt and the maximum tokens of its
+// answer. If their sum is below 1, they count as not stated.
 func (q *Quota) Cost(prompt, answer int) float64 {
 	if q.Unit != QuotaTokens {
 		return 1
 	}
-	n := min(max(0, prompt), mostTokens) + min(max(0, answer), mostTokens)
+	n := min(max(0, prompt), maxRequestTokens) + min(max(0, answer), maxRequestTokens)
 	if n > 0 {
-		return float64(min(n, mostTokens))
+		return float64(min(n, maxRequestTokens))
 	}
 	return float64(max(1, q.PlainTokens))
 }
 
-// indexKeys enters the keys of a team, which have been checked.
+// indexKeys indexes the keys of a team, which have been checked.
 func (v *View) indexKeys(t *Team) {
 	for _, key := range t.KeysSHA256 {
 		var sum [sha256.Size]byte
@@ -71,13 +70,13 @@
 	}
 }
 
-// Keyed reports whether any team has keys, so that callers have to give one.
+// Keyed reports whether any team has keys, so that callers need one.
 func (v *View) Keyed() bool { return len(v.teamByKey) > 0 }
 
 // TeamOfKey returns the team that holds a key, or nil.
 func (v *View) TeamOfKey(key string) *Team { return v.teamByKey[sha256.Sum256([]byte(key))] }
 
-// KeyDigest returns what a document holds of a key.
+// KeyDigest returns the digest of a key as it appears in a document.
 func KeyDigest(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
@@ -100,13 +99,13 @@
 	}
 }
 
-// keys checks a team's keys. holders names the team of each key so far.
+// keys checks a team's keys. holders maps the keys checked so far to their teams.
 func (c *checker) keys(holders map[string]string, field string, t Team) {
 	for i, key := range t.KeysSHA256 {
 		f := index(field, i)
 		b, err := hex.DecodeString(key)
 		if err != nil || len(b) != sha256.Size {
-			// The value is not shown: it may be a key itself, pasted by mistake.
+			// The value is not shown, because it may be a key pasted by mistake.
 			c.fail(f, "", "want 64 hex digits, the SHA-256 of a key")
 			continue
 		}
@@ -121,7 +120,7 @@
 	c.oneOf(field+".unit", string(q.Unit), "", string(QuotaRequests), string(QuotaTokens))
 	c.within(field+".rate", q.Rate, 0, 1e12)
 	c.within(field+".burst", q.Burst, 0, 1e12)
-	c.within(field+".plain_tokens", float64(q.PlainTokens), 0, mostTokens)
+	c.within(field+".plain_tokens", float64(q.PlainTokens), 0, maxRequestTokens)
 	if q.Rate == 0 && q.Burst > 0 {
 		c.fail(field+".burst", fmt.Sprint(q.Burst), "stands without a rate")
 	}
--- a/config/team_test.go
+++ b/config/team_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestTeamErrors gives two teams some fields, and names what the error has to say.
-// Neither a key nor a part of it may stand in the error.
+// TestTeamErrors checks the errors for invalid fields of two teams. No error may contain a key,
+// which may have been pasted in place of its digest.
 func TestTeamErrors(t *testing.T) {
 	sum := KeyDigest("secret")
 	cases := []struct{ name, red, blue, want string }{
@@ -14,12 +14,12 @@
 		{"a key itself", `"keys_sha256": ["secret"]`, "", "teams[0].keys_sha256[0]: want 64 hex digits"},
 		{"a key twice", `"keys_sha256": ["` + sum + `", "` + sum + `"]`, "", "teams[0].keys_sha256[1] = "},
 		{"a key of two teams", `"keys_sha256": ["` + sum + `"]`, `"keys_sha256": ["` + sum + `"]`, "is a key of team red already"},
-		{"the old name of keys", `"token_sha256": "` + sum + `"`, "", "token_sha256: unknown field"},
+		{"an unknown name for keys", `"token_sha256": "` + sum + `"`, "", "token_sha256: unknown field"},
 		{"a typo", `"quota": {"rat": 5}`, "", `did you mean "rate"`},
 		{"a negative rate", `"quota": {"rate": -1}`, "", "teams[0].quota.rate = -1: want 0 to"},
 		{"an unknown unit", `"quota": {"rate": 1, "unit": "words"}`, "", "teams[0].quota.unit"},
 		{"a burst without a rate", `"quota": {"burst": 10}`, "", "teams[0].quota.burst = 10: stands without a rate"},
-		{"a rank out of range", `"priority": 10`, "", "teams[0].priority = 10: want 0 to 9"},
+		{"a priority out of range", `"priority": 10`, "", "teams[0].priority = 10: want 0 to 9"},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -41,7 +41,7 @@
 	}
 }
 
-// TestCost states what requests count as.
+// TestCost checks the quota cost of requests.
 func TestCost(t *testing.T) {
 	cases := []struct {
 		name           string
@@ -52,10 +52,10 @@
 		{"requests", Quota{}, 3000, 70, 1},
 		{"tokens", Quota{Unit: QuotaTokens, PlainTokens: 200}, 3000, 70, 3070},
 		{"none stated", Quota{Unit: QuotaTokens, PlainTokens: 200}, 0, 0, 200},
-		{"none stated, and no figure for it", Quota{Unit: QuotaTokens}, 0, 0, 1},
+		{"none stated, and no default", Quota{Unit: QuotaTokens}, 0, 0, 1},
 		{"negative", Quota{Unit: QuotaTokens, PlainTokens: 200}, -5, -5, 200},
 		{"one of them negative", Quota{Unit: QuotaTokens, PlainTokens: 200}, -3000, 70, 70},
-		{"huge", Quota{Unit: QuotaTokens}, 1 << 62, 1 << 62, mostTokens},
+		{"huge", Quota{Unit: QuotaTokens}, 1 << 62, 1 << 62, maxRequestTokens},
 	}
 	for _, tc := range cases {
 		if got := tc.quota.Cost(tc.prompt, tc.answer); got != tc.want {
--- a/config/view.go
+++ b/config/view.go
@@ -8,18 +8,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// View is an accepted revision, indexed for decisions. It is never changed
-// after NewView returns, so readers share it without a lock.
+// View is an accepted revision, indexed for decisions. It is immutable after NewView returns, so
+// it can be read without a lock.
 type View struct {
 	Revision uint64
 	Digest   uint64 // xxhash of the source
 	Source   []byte // the bytes as published, for peers that are behind
 	Doc      *Document
 
-	// Endpoints are the document's own and those that registered themselves.
+	// Endpoints are the document's endpoints and the self-registered ones.
 	Endpoints Endpoints
 	Teams     map[string]*Team
-	// TeamByNumber serves messages, which carry numbers for names.
+	// TeamByNumber is needed for messages, which carry numbers instead of names.
 	TeamByNumber map[uint32]*Team
 	teamByKey    map[[sha256.Size]byte]*Team
 	Models       map[string]*Model // by model and adapter name
@@ -27,9 +27,9 @@
 	RegionNames  []string          // in the order of Regions
 	Routes       []RouteView
 	Pools        map[string]*Pool
-	// Roster is the revision of the endpoints that registered themselves.
+	// Roster is the revision of the roster.
 	Roster Position
-	// Evacuated are the failure domains that are being emptied.
+	// Evacuated are the evacuated failure domains.
 	Evacuated map[string]Evacuation
 
 	layout   *layout
@@ -39,7 +39,7 @@
 	byPath   map[string]*RouteView // by host and prefix
 }
 
-// Share is a part of a route's requests and where it goes.
+// Share is the share of a route's requests that goes to a pool.
 type Share struct {
 	Pool   *Pool
 	Weight int
@@ -50,11 +50,11 @@
 	*Route
 	requests                 Selector
 	prefill, decode, service Selector
-	// Shares are set on routes that name pools instead of selectors.
+	// Shares are only set for routes that name pools instead of selectors.
 	Shares []Share
 }
 
-// NameNumber returns the number that stands for a name in messages.
+// NameNumber returns the number that represents a name in messages.
 func NameNumber(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
 // NewView parses and indexes one published revision.
@@ -68,7 +68,7 @@
 	return v, nil
 }
 
-// index fills in everything that is worked out from the document.
+// index builds all indexes of the document.
 func (v *View) index() {
 	d := v.Doc
 	v.Teams, v.TeamByNumber = map[string]*Team{}, map[uint32]*Team{}
@@ -106,7 +106,7 @@
 	v.indexEndpoints()
 }
 
-// routeView parses a route's selectors, or finds its pools.
+// routeView parses a route's selectors or resolves its pools.
 func (v *View) routeView(r *Route) RouteView {
 	rv := RouteView{Route: r}
 	if r.PathPrefix != "" {
@@ -122,7 +122,7 @@
 	return rv
 }
 
-// Selects reports whether a route's selectors take an endpoint.
+// Selects reports whether a route's selectors match an endpoint.
 func (r *RouteView) Selects(e *Endpoint) bool {
 	switch {
 	case r.PathPrefix != "" || (r.Service != "") != (e.Role == Service):
@@ -137,7 +137,7 @@
 	return false
 }
 
-// Match returns the first route whose selector takes the labels, or nil.
+// Match returns the first route whose request selector matches the labels, or nil.
 func (v *View) Match(set map[string]string, service bool) *RouteView {
 	for i := range v.Routes {
 		r := &v.Routes[i]
@@ -158,11 +158,10 @@
 	return -1
 }
 
-// RouteByName returns the route of the name in this revision, or nil.
+// RouteByName returns the named route, or nil.
 func (v *View) RouteByName(name string) *RouteView { return v.byName[name] }
 
-// RouteFor returns the route of a host whose prefix is the longest that
-// begins the path, or nil.
+// RouteFor returns the route of a host with the longest matching path prefix, or nil.
 func (v *View) RouteFor(host, path string) *RouteView {
 	for end := strings.LastIndexByte(path, '/'); end >= 0; end = strings.LastIndexByte(path[:end], '/') {
 		if r := v.byPath[host+path[:end+1]]; r != nil {
@@ -172,15 +171,15 @@
 	return nil
 }
 
-// Draw returns one of the route's shares by weight, for a number that is
-// spread evenly. A route with selectors has none and returns nil.
+// Draw returns one of the route's shares, chosen by weight with a uniformly distributed number.
+// A route with selectors has no shares and returns nil.
 func (r *RouteView) Draw(n uint64) *Share {
 	sum := 0
 	for i := range r.Shares {
 		sum += r.Shares[i].Weight
 	}
 	if sum == 0 {
-		return r.first()
+		return r.firstShare()
 	}
 	at := int(n % uint64(sum))
 	for i := range r.Shares {
@@ -191,14 +190,14 @@
 	return nil
 }
 
-func (r *RouteView) first() *Share {
+func (r *RouteView) firstShare() *Share {
 	if len(r.Shares) == 0 {
 		return nil
 	}
 	return &r.Shares[0]
 }
 
-// Reaches reports whether the route leads to a pool.
+// Reaches reports whether the route sends requests to a pool.
 func (r *RouteView) Reaches(pool string) bool {
 	return slices.ContainsFunc(r.Shares, func(s Share) bool { return s.Pool.Name == pool })
 }
@@ -219,26 +218,25 @@
 	return ""
 }
 
-// FullShare returns the share of reservations that may find the engine still
-// full when they come: owners learn a margin by which it comes about. It rises
-// with the weight of goodput, which overbooking helps, and falls with that of
-// wasted prefill.
+// FullShare returns the target share of reservations that find the engine still full on arrival.
+// Owners learn the margin that leads to it. It rises with the weight of goodput, which
+// overbooking increases, and falls with the weight of wasted prefill.
 func (v *View) FullShare() float64 {
 	w := v.Doc.Weights
-	return leastFull + moreFull*w.Goodput/(w.Goodput+w.WastedPrefill)
+	return minFullShare + fullShareRange*w.Goodput/(w.Goodput+w.WastedPrefill)
 }
 
 const (
-	leastFull = 0.02
-	moreFull  = 0.10
+	minFullShare   = 0.02
+	fullShareRange = 0.10
 )
 
-// Patience returns the part of a request's slack for which its prefill may be
-// held back while many callers leave early, so that less is read for them. It
-// is 0 unless wasted prefill weighs more than goodput.
+// Patience returns the share of a request's slack by which its prefill may be delayed while many
+// callers leave early, to save prefill work for them. It is 0 unless wasted prefill weighs more
+// than goodput.
 func (v *View) Patience() float64 {
 	w := v.Doc.Weights
-	return mostPatience * max(0, w.WastedPrefill-w.Goodput) / (w.Goodput + w.WastedPrefill)
+	return maxPatience * max(0, w.WastedPrefill-w.Goodput) / (w.Goodput + w.WastedPrefill)
 }
 
-const mostPatience = 0.6
+const maxPatience = 0.6
