--- a/blackboard/choice_test.go
+++ b/blackboard/choice_test.go
@@ -23,10 +23,10 @@
 			h := Host{Name: name, Number: request.HostNumber(name), Domain: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "domain"), Region: "r",
 				Incarnation: 1, Beat: 1, Leaving: rapid.Bool().Draw(t, "leaving")}
 			hosts.Learn(h, now)
-			if rapid.Bool().Draw(t, "doubted") {
+			if rapid.Bool().Draw(t, "unconfirmed") {
 				hosts.Doubt(h.Number)
 			}
-			if rapid.Bool().Draw(t, "accused") {
+			if rapid.Bool().Draw(t, "suspected") {
 				hosts.Accuse(h.Number, 1, 1, now)
 			}
 		}
--- a/blackboard/config_test.go
+++ b/blackboard/config_test.go
@@ -151,7 +151,7 @@
 	steps := []struct {
 		name  string
 		do    func() bool
-		news  bool
+		isNew bool
 		after int // seconds since the start
 		want  time.Duration
 	}{
@@ -172,8 +172,8 @@
 		{"and the configuration", func() bool { _, err := table.Offer(7, []byte(rosterDocument)); return err != nil }, false, 20, 0},
 	}
 	for _, s := range steps {
-		if news := s.do(); news != s.news {
-			t.Errorf("%s: news %v, want %v", s.name, news, s.news)
+		if isNew := s.do(); isNew != s.isNew {
+			t.Errorf("%s: new %v, want %v", s.name, isNew, s.isNew)
 		}
 		if got := table.Behind(at(s.after)); got != s.want {
 			t.Errorf("%s: behind for %s, want %s", s.name, got, s.want)
--- a/blackboard/pause.go
+++ b/blackboard/pause.go
@@ -63,7 +63,7 @@
 	return true
 }
 
-// tick is called by the ticker. It checks the gap and then moves the mark.
+// tick is called by the ticker. It checks the gap and then records the time.
 func (p *Pause) tick() {
 	p.Check()
 	p.mark(p.now().Sub(p.start))
--- a/owner/balance.go
+++ b/owner/balance.go
@@ -18,7 +18,7 @@
 
 // Balancing orders surplus runners of a pool's overstaffed role into the other role (package
 // roles). A runner is ordered only by its owner, and only after the ownership has been stable
-// for so long that no other host can have sent an order lately.
+// for so long that no other host can have sent it an order within its lease.
 
 // Timing of balancing.
 const (
@@ -154,10 +154,10 @@
 		return
 	}
 	number := route.Number(e.Name)
-	again := config.Millis(p.RoleSwitchMillis) + orderSlack
+	repeatAfter := config.Millis(p.RoleSwitchMillis) + orderSlack
 	b := &o.balance
 	b.mu.Lock()
-	if at, done := b.orderedAt[number]; done && now.Sub(at) < again {
+	if at, done := b.orderedAt[number]; done && now.Sub(at) < repeatAfter {
 		b.mu.Unlock()
 		return
 	}
@@ -176,7 +176,7 @@
 		b.mu.Unlock()
 		return
 	}
-	o.markRoleChanging(number, now.Add(again))
+	o.markRoleChanging(number, now.Add(repeatAfter))
 }
 
 // fenceJump is how far the fence is raised after a runner has seen a higher one. It exceeds
--- a/owner/starts.go
+++ b/owner/starts.go
@@ -130,7 +130,7 @@
 }
 
 // bounds returns the bounds that apply at an endpoint. The caller must not hold the lock, because
-// the endpoint table is locked here and comes first in the lock order.
+// this locks the endpoint table, whose lock is taken before it.
 func (s *Starts) bounds(spec *config.Endpoint, warm bool, now time.Time) (b bounds) {
 	s.board.Endpoints.Find(route.Number(spec.Name), func(_ *config.View, st *route.State) {
 		b.perSecond, b.limited = st.Limit.Limit(now)
@@ -194,11 +194,11 @@
 	return StartReply{Given: true, InMillis: millis(in)}
 }
 
-// requestFirstVotes requests votes at once for an endpoint for which none were requested lately, and reports
-// whether votes may arrive soon. The caller holds the lock. Without it the first calls to an
-// endpoint that has turned cold waited for the next round, and prefills were wasted. Calls that
-// arrive before the first votes get the same answer, because a call that is told that there is
-// no permit avoids the endpoint for the rest of maxRetryDelay.
+// requestFirstVotes requests votes at once for an endpoint for which none were requested lately,
+// and reports whether votes may arrive soon. The caller holds the lock. Without it the first calls
+// to an endpoint that has turned cold waited for the next round, and prefills were wasted. Calls
+// that arrive before the first votes get the same answer, because a call that is refused without
+// it avoids the endpoint for the rest of maxRetryDelay.
 func (s *Starts) requestFirstVotes(v *config.View, p *endpointPermits, spec *config.Endpoint, now time.Time) bool {
 	if !s.owns(v, spec, time.Now()) {
 		return false
