--- a/blackboard/choice_test.go
+++ b/blackboard/choice_test.go
@@ -11,8 +11,8 @@
 	"github.com/embercove/embercove/request"
 )
 
-// TestCandidates checks that choices of many keys come out as those of single ones,
-// whatever is known of the hosts.
+// TestCandidates checks that Candidates chooses the same hosts as HostTable, for random sets of
+// leaving, unconfirmed and suspected hosts.
 func TestCandidates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &config.Settings{Host: "self", Domain: "a", Region: "r"}
@@ -23,10 +23,10 @@
 			h := Host{Name: name, Number: request.HostNumber(name), Domain: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "domain"), Region: "r",
 				Incarnation: 1, Beat: 1, Leaving: rapid.Bool().Draw(t, "leaving")}
 			hosts.Learn(h, now)
-			if rapid.Bool().Draw(t, "doubted") {
+			if rapid.Bool().Draw(t, "unconfirmed") {
 				hosts.Doubt(h.Number)
 			}
-			if rapid.Bool().Draw(t, "accused") {
+			if rapid.Bool().Draw(t, "suspected") {
 				hosts.Accuse(h.Number, 1, 1, now)
 			}
 		}
