--- a/route/baseline.go
+++ b/route/baseline.go
@@ -7,13 +7,12 @@
 	"github.com/embercove/embercove/config"
 )
 
-// PickOne chooses an endpoint among the candidates by one of the baselines'
-// ways, without regard to reservations. turn is a counter for round robin.
-// It returns nil when no candidate is eligible.
-func PickOne(list []*State, mode config.PolicyMode, turn uint64, r *Request) *State {
+// PickOne chooses one of the eligible endpoints by a baseline policy, without regard to
+// reservations. counter is used by round robin. It returns nil if no endpoint is eligible.
+func PickOne(list []*State, mode config.PolicyMode, counter uint64, r *Request) *State {
 	var open []*State
 	for _, s := range list {
-		if eligible(s, r) {
+		if eligibleForModel(s, r) {
 			open = append(open, s)
 		}
 	}
@@ -24,7 +23,7 @@
 	slices.SortFunc(open, func(a, b *State) int { return cmp.Compare(a.Number, b.Number) })
 	switch mode {
 	case config.ModeRoundRobin:
-		return open[turn%uint64(n)]
+		return open[counter%uint64(n)]
 	case config.ModeTwoChoices:
 		a, b := open[int(noise(r.Seed, 1)*float64(n))], open[int(noise(r.Seed, 2)*float64(n))]
 		if lagged(b) < lagged(a) {
@@ -38,8 +37,7 @@
 	}
 }
 
-// lagged is the load that the last report gave, with what this host has sent
-// itself.
+// lagged returns the load by the last digest plus this host's own requests in flight.
 func lagged(s *State) float64 {
 	if s.Role == config.Prefill {
 		return float64(s.Digest.QueueMillis) + 50*float64(s.Sent)
--- a/route/cold.go
+++ b/route/cold.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// coldToldFor is how long an owner's word that an endpoint is cold holds: the owner tells
-// of it in each answer, and an endpoint is cold for some seconds.
-const coldToldFor = 2 * time.Second
+// coldReportTTL is how long an owner's report that an endpoint is cold is used. The owner
+// repeats it in each reply, and an endpoint stays cold for some seconds.
+const coldReportTTL = 2 * time.Second
 
-// Cold reports whether an endpoint bears few requests now, or may: by what it says of
-// itself, by its owner's word, or because its failure domain has just come back.
+// Cold reports whether an endpoint is or may be cold, and so takes few requests: by its
+// registration, by its owner's report, or because its failure domain has just come back.
 func (s *State) Cold(now time.Time) bool {
 	if s.Spec == nil || s.Spec.ColdPerSecond <= 0 {
 		return false
 	}
 	return now.Before(s.ColdUntil) || now.Before(s.MaybeCold) ||
-		s.Digest.Flags&FlagCold != 0 && now.Sub(s.At) < coldToldFor
+		s.Digest.Flags&FlagCold != 0 && now.Sub(s.At) < coldReportTTL
 }
 
-// ColdFor returns for how long an endpoint is or may be cold still, as far as this is known.
+// ColdFor returns how much longer an endpoint is or may be cold, as far as known.
 func (s *State) ColdFor(now time.Time) time.Duration {
 	if !s.Cold(now) {
 		return 0
@@ -24,12 +24,12 @@
 	return max(time.Millisecond, s.ColdUntil.Sub(now), s.MaybeCold.Sub(now))
 }
 
-// Limited reports whether an endpoint has just named a limit: it takes what others have no room
-// for, and a request may find out later whether the limit still holds.
+// Limited reports whether an endpoint has just named a request limit. It then takes only what
+// the others have no capacity for; later requests show whether the limit still holds.
 func (s *State) Limited(now time.Time) bool { return now.Before(s.LimitedUntil) }
 
-// Suspect takes an endpoint for cold for as long as a start leaves it so, from now on: its
-// failure domain was emptied or cut off, and word of it is up to a heartbeat late.
-func (s *State) Suspect(now time.Time) {
+// AssumeCold treats an endpoint as cold for the length of a cold start from now. Its failure
+// domain was evacuated or cut off, and its own report is up to a heartbeat late.
+func (s *State) AssumeCold(now time.Time) {
 	s.MaybeCold = now.Add(time.Duration(s.Spec.ColdStartMillis) * time.Millisecond)
 }
--- a/route/draw.go
+++ b/route/draw.go
@@ -2,58 +2,59 @@
 
 import "math/bits"
 
-// Looks says how many endpoints of a list a choice looks at. With a bounded number it costs
-// the same in a fleet of any size, and hosts that know the same of thousands don't all take
-// the one that seems best.
-type Looks struct {
-	All  int // up to this many it looks at each
-	Near int // that are drawn of the host's failure domain
-	Far  int // that are drawn of all
+// sampleSizes bounds how many endpoints of a list a choice considers. A bounded sample costs the
+// same in a fleet of any size. It also keeps hosts that share the same view of thousands of
+// endpoints from all picking the one that looks best.
+type sampleSizes struct {
+	scanAll  int // lists of up to this many are scanned whole
+	inDomain int // sample size from the entry host's failure domain
+	anywhere int // sample size from the whole list
 }
 
-// standingLooks is what is in force.
-var standingLooks = Looks{All: 128, Near: 48, Far: 16}
+// defaultSampling is the sampling of a new fleet.
+var defaultSampling = sampleSizes{scanAll: 128, inDomain: 48, anywhere: 16}
 
-// leastChoice is how many open endpoints there must be to choose from: with fewer all are
-// looked at.
-const leastChoice = 8
+// minEligible is how many eligible endpoints a sample must contain. With fewer, the whole list
+// is scanned.
+const minEligible = 8
 
-// look calls see for the endpoints of a list that a choice looks at, until it has seen
-// enough of those that are open: the host's own, and some that are drawn. see reports
-// whether an endpoint is open. Where hardly any is, all are looked at.
-func (f *Fleet) look(l *List, r *Request, see func(s *State) bool) {
+// scan calls visit for the endpoints that a choice considers: those that this host owns, those
+// that have cached the prompt's head, and a random sample. visit reports whether an endpoint is
+// eligible. If the sample has fewer than minEligible of those, scan visits the whole list.
+func (f *Fleet) scan(l *List, r *Request, visit func(s *State) bool) {
 	all := l.All()
-	if len(all) > f.looks.All && f.lookAtSome(l, r, see) >= leastChoice {
+	if len(all) > f.sampling.scanAll && f.sample(l, r, visit) >= minEligible {
 		return
 	}
 	for _, s := range all {
-		see(s)
+		visit(s)
 	}
 }
 
-// lookAtSome calls see for a bounded number of endpoints and returns how many were open.
-func (f *Fleet) lookAtSome(l *List, r *Request, see func(s *State) bool) (open int) {
+// sample calls visit for a bounded number of endpoints and returns how many were eligible.
+func (f *Fleet) sample(l *List, r *Request, visit func(s *State) bool) (open int) {
 	count := func(s *State) {
-		if see(s) {
+		if visit(s) {
 			open++
 		}
 	}
-	for _, number := range f.own {
+	for _, number := range f.owned {
 		if s := l.Find(number); s != nil {
 			count(s)
 		}
 	}
-	for _, number := range f.heads.of(r) {
+	for _, number := range f.heads.lookup(r) {
 		if s := l.Find(number); s != nil {
 			count(s)
 		}
 	}
-	draw(l.In(r.Home), f.looks.Near, r.drawSeed(), count)
-	draw(l.All(), f.looks.Far, r.drawSeed()+1, count)
+	draw(l.In(r.Home), f.sampling.inDomain, r.drawSeed(), count)
+	draw(l.All(), f.sampling.anywhere, r.drawSeed()+1, count)
 	return open
 }
 
-// drawSeed returns what a request's draws depend on: each try draws others.
+// drawSeed returns the seed of a request's samples. It depends on the number of excluded
+// endpoints, so that each attempt samples others.
 func (r *Request) drawSeed() uint64 {
 	n := uint64(0)
 	for n < MostExcluded && r.Exclude[n] != 0 {
@@ -62,8 +63,7 @@
 	return r.Seed ^ n<<40
 }
 
-// draw calls f for n of the states, each as likely as any other, some maybe twice; for all of
-// them where there are no more.
+// draw calls f for n states drawn uniformly with replacement, or for all if there are at most n.
 func draw(list []*State, n int, seed uint64, f func(s *State)) {
 	if len(list) <= n {
 		for _, s := range list {
@@ -78,7 +78,7 @@
 	}
 }
 
-// mix spreads a number over all its bits.
+// mix hashes a number so that every input bit affects all output bits.
 func mix(x uint64) uint64 {
 	x ^= x >> 32
 	x *= 0xd6e8feb86659fd93
--- a/route/draw_test.go
+++ b/route/draw_test.go
@@ -7,13 +7,13 @@
 	"github.com/embercove/embercove/config"
 )
 
-// TestLook checks how many endpoints a choice looks at in pools of any size, and that it
-// looks at all where few are open.
+// TestLook checks how many endpoints a choice scans in pools of different sizes, and that it
+// scans all of them if few are eligible.
 func TestLook(t *testing.T) {
 	cases := []struct {
-		name          string
-		engines, open int
-		least, most   int // looked at
+		name                   string
+		engines, open          int
+		minScanned, maxScanned int // scanned
 	}{
 		{"a small pool: all", 100, 100, 100, 100},
 		{"a large one", 1000, 1000, 64, 200},
@@ -25,30 +25,30 @@
 		t.Run(tc.name, func(t *testing.T) {
 			f := NewFleet(oneDomain(t, tc.engines))
 			r := &Request{Group: f.routes["all"], Seed: 7}
-			looked, open := 0, map[*State]bool{}
+			scanned, open := 0, map[*State]bool{}
 			for _, s := range r.Group.Prefill.All()[:tc.open] {
 				open[s] = true
 			}
 			seen := map[*State]bool{}
-			f.look(&r.Group.Prefill, r, func(s *State) bool {
-				looked++
+			f.scan(&r.Group.Prefill, r, func(s *State) bool {
+				scanned++
 				seen[s] = true
 				return open[s]
 			})
-			if looked < tc.least || looked > tc.most {
-				t.Errorf("looked at %d of %d, want %d to %d", looked, tc.engines, tc.least, tc.most)
+			if scanned < tc.minScanned || scanned > tc.maxScanned {
+				t.Errorf("scanned %d of %d, want %d to %d", scanned, tc.engines, tc.minScanned, tc.maxScanned)
 			}
 			for s := range open {
-				if tc.least == tc.engines && !seen[s] {
-					t.Fatalf("%s is open and was not looked at", s.Spec.Name)
+				if tc.minScanned == tc.engines && !seen[s] {
+					t.Fatalf("%s is open and was not scanned", s.Spec.Name)
 				}
 			}
 		})
 	}
 }
 
-// TestCachedIsFound checks that a prompt goes to the one engine of thousands that has cached
-// its beginning, and no longer once that has gone or has forgotten it.
+// TestCachedIsFound checks that a prompt goes to the one engine among thousands that has cached
+// its head, and no longer once that engine is removed or has evicted the entry.
 func TestCachedIsFound(t *testing.T) {
 	v := oneDomain(t, 2000)
 	f := NewFleet(v)
@@ -56,9 +56,9 @@
 		s.At = now.Add(-time.Second)
 		s.Digest.FreeTokens, s.Digest.FreeSlots = 50000, 10
 	}
-	kept := f.Find(Number("p1234"))
+	holder := f.Find(Number("p1234"))
 	learn := func(heads []HeadDigest) {
-		f.Learn(Digest{Number: kept.Number, Heads: heads, TrustPct: 100}, now)
+		f.Learn(Digest{Number: holder.Number, Heads: heads, TrustPct: 100}, now)
 	}
 	picks := func(seed uint64) *config.Endpoint {
 		r := &Request{Group: f.routes["all"], Model: "m", Tokens: 3000, MaxAnswer: 100, Region: v.RegionSet("r"), Now: now, Head: 77, HasHead: true, Seed: seed}
@@ -66,16 +66,16 @@
 	}
 	learn([]HeadDigest{{77, 3000}})
 	for seed := range uint64(30) {
-		if got := picks(seed); got != kept.Spec {
-			t.Fatalf("seed %d: read by %s, want %s, which has it cached", seed, got.Name, kept.Spec.Name)
+		if got := picks(seed); got != holder.Spec {
+			t.Fatalf("seed %d: prefill at %s, want %s, which has it cached", seed, got.Name, holder.Spec.Name)
 		}
 	}
-	f.Learn(Digest{Number: kept.Number, Heads: []HeadDigest{{78, 3000}}, TrustPct: 100}, now.Add(1))
+	f.Learn(Digest{Number: holder.Number, Heads: []HeadDigest{{78, 3000}}, TrustPct: 100}, now.Add(1))
 	if len(f.heads[77]) > 0 {
-		t.Errorf("the engine has forgotten the prompt, and is still known for it: %v", f.heads[77])
+		t.Errorf("the engine evicted the prompt, and is still indexed for it: %v", f.heads[77])
 	}
-	f.change(kept.Number, nil, now)
+	f.replace(holder.Number, nil, now)
 	if len(f.heads) > 0 {
-		t.Errorf("the engine has gone, and is still known for %v", f.heads)
+		t.Errorf("the engine was removed, and is still indexed for %v", f.heads)
 	}
 }
--- a/route/explain.go
+++ b/route/explain.go
@@ -8,30 +8,30 @@
 	"github.com/embercove/embercove/config"
 )
 
-// Candidate is one endpoint as a decision sees it.
+// Candidate describes one endpoint and its cost for a request.
 type Candidate struct {
 	Endpoint string      `json:"endpoint"`
 	Role     config.Role `json:"role"`
 	Domain   string      `json:"failure_domain"`
-	Cost     float64     `json:"cost_s"` // -1 when it is out of the question
+	Cost     float64     `json:"cost_s"` // -1 if it is excluded
 	Why      string      `json:"why,omitempty"`
 	Queue    float64     `json:"queue_s"`
 	Uncached int         `json:"uncached_tokens"`
 	Free     int32       `json:"free_tokens"`
-	Age      float64     `json:"digest_age_s"`     // -1: never heard of
-	Cold     float64     `json:"cold_s,omitempty"` // for which it is or may be cold still
-	// Limit is how many requests a second the endpoint names that it takes; nil: it names none.
+	Age      float64     `json:"digest_age_s"`     // -1: no digest received
+	Cold     float64     `json:"cold_s,omitempty"` // for how much longer it is or may be cold
+	// Limit is the request rate per second that the endpoint names as its limit; nil: none.
 	Limit  *float64 `json:"limit_per_s,omitempty"`
 	Chosen bool     `json:"chosen"`
 }
 
-// Explain lists every endpoint that the route allows with its cost, the
-// cheapest first.
+// Explain lists every endpoint that the route allows with its cost: prefill before decode, the
+// cheapest first, excluded ones last.
 func (f *Fleet) Explain(r *Request) []Candidate {
 	v, c := f.View, f.Pick(r)
 	var out []Candidate
 	for _, s := range slices.Concat(r.Group.Prefill.All(), r.Group.Decode.All()) {
-		row := Candidate{Endpoint: s.Spec.Name, Role: s.Role, Domain: s.Spec.Domain, Cost: -1, Why: why(s, r),
+		row := Candidate{Endpoint: s.Spec.Name, Role: s.Role, Domain: s.Spec.Domain, Cost: -1, Why: exclusionReason(s, r),
 			Queue: float64(s.Digest.QueueMillis) / 1000, Free: s.Digest.FreeTokens, Age: -1, Cold: s.ColdFor(r.Now).Seconds(),
 			Chosen: s.Spec == c.Prefill || s.Spec == c.Decode}
 		if !s.At.IsZero() {
@@ -62,8 +62,8 @@
 	return out
 }
 
-// why says what rules an endpoint out, or "".
-func why(s *State, r *Request) string {
+// exclusionReason returns why a request can't go to an endpoint, or "".
+func exclusionReason(s *State, r *Request) string {
 	if b := Barred(s, r); b != BarNone {
 		return b.String()
 	}
--- a/route/fleet.go
+++ b/route/fleet.go
@@ -9,21 +9,21 @@
 	"github.com/embercove/embercove/config"
 )
 
-// Fleet is the endpoints of a view as one host sees them, ready to decide from.
+// Fleet holds the state of a view's endpoints as one host sees them, indexed for routing.
 type Fleet struct {
-	View   *config.View
-	states map[uint32]*State
-	pools  map[string]*Group    // endpoints of pools
-	routes map[string]*Group    // endpoints of routes with selectors
-	cutOff map[string]time.Time // until when failure domains count as cut off
-	own    []uint32             // endpoints that this host owns, sorted: choices are the same each time
-	wrong  map[uint32]bool      // endpoints that aren't in the state that was ordered
-	heads  heads
-	looks  Looks
+	View       *config.View
+	states     map[uint32]*State
+	pools      map[string]*Group    // endpoints of pools
+	routes     map[string]*Group    // endpoints of routes with selectors
+	cutOff     map[string]time.Time // by failure domain: until when it counts as cut off
+	owned      []uint32             // endpoints that this host owns, sorted so that choices are deterministic
+	wrongState map[uint32]bool      // endpoints that aren't in the ordered state
+	heads      headIndex
+	sampling   sampleSizes
 
-	gone        goneTable
-	notices     map[uint32]*Notices // of endpoints that said anything, also of some that are gone
-	noticesLeft int                 // when those of endpoints that are gone were dropped last
+	removed           removals
+	notices           map[uint32]*Notices // by endpoint, including some that were removed
+	noticesAfterSweep int                 // len(notices) after the last expireNotices
 }
 
 // Group lists the endpoints that a request may go to.
@@ -31,7 +31,7 @@
 	Prefill, Decode, Service List
 }
 
-// Of returns the list of a role.
+// Of returns the list for a role.
 func (g *Group) Of(r config.Role) *List {
 	switch r {
 	case config.Prefill:
@@ -42,9 +42,9 @@
 	return &g.Service
 }
 
-// NewFleet returns the endpoints of a view, of which nothing is known yet.
+// NewFleet returns a fleet for a view; nil: for none yet. Nothing is known of its endpoints.
 func NewFleet(v *config.View) *Fleet {
-	f := &Fleet{cutOff: map[string]time.Time{}, wrong: map[uint32]bool{}, heads: heads{}, looks: standingLooks, notices: map[uint32]*Notices{}}
+	f := &Fleet{cutOff: map[string]time.Time{}, wrongState: map[uint32]bool{}, heads: headIndex{}, sampling: defaultSampling, notices: map[uint32]*Notices{}}
 	if v != nil {
 		f.Fit(v, time.Time{})
 	}
@@ -54,7 +54,7 @@
 // Len returns the number of endpoints.
 func (f *Fleet) Len() int { return len(f.states) }
 
-// Find returns the state of the endpoint of a number, or nil.
+// Find returns the state of the endpoint with a number, or nil.
 func (f *Fleet) Find(number uint32) *State { return f.states[number] }
 
 // All yields all states, in no order.
@@ -74,8 +74,8 @@
 	}
 }
 
-// Group returns the endpoints of a pool that a route leads to, or of a route with selectors,
-// where the pool is empty; nil: the document has none such.
+// Group returns the endpoints of a pool. If pool is "", it returns those of a route with
+// selectors. nil: the document has no such pool or route.
 func (f *Fleet) Group(r *config.RouteView, pool string) *Group {
 	if pool == "" {
 		return f.routes[r.Name]
@@ -83,8 +83,8 @@
 	return f.pools[pool]
 }
 
-// Alike returns the endpoints of a pool, role and failure domain that an endpoint has; where
-// it is of no pool, all endpoints of its role.
+// Alike returns the endpoints with the same pool, role and failure domain as an endpoint. If
+// the document has no such pool, it returns those of all domains.
 func (f *Fleet) Alike(e *config.Endpoint) (out []*State) {
 	if g := f.pools[e.Pool]; g != nil {
 		return g.Of(e.Role).In(max(0, f.View.DomainIndex(e.Domain)))
@@ -97,8 +97,8 @@
 	return out
 }
 
-// Fit goes on to another view. What is known of endpoints that stay is kept. Only those that
-// differ between the views are looked at, unless the document lays them out anew.
+// Fit switches to another view and keeps what is known of endpoints that stay. It updates only
+// endpoints that differ, unless the new document changes the layout.
 func (f *Fleet) Fit(v *config.View, now time.Time) {
 	old := f.View
 	if old == v {
@@ -106,46 +106,46 @@
 	}
 	f.View = v
 	if !v.SharesLayout(old) {
-		f.layOut(now)
+		f.rebuild(now)
 		return
 	}
 	if v.Doc != old.Doc {
-		f.routes = nil // of the document before
+		f.routes = nil // they belong to the old document
 	}
-	config.Differing(old, v, func(number uint32, e *config.Endpoint) { f.change(number, e, now) })
+	config.Differing(old, v, func(number uint32, e *config.Endpoint) { f.replace(number, e, now) })
 	if v.Doc != old.Doc {
-		f.layOutRoutes()
+		f.rebuildRoutes()
 	}
 	if !maps.Equal(old.Evacuated, v.Evacuated) {
-		f.evacuate(now)
+		f.updateEvacuated(now)
 	}
 }
 
-// layOut looks at all endpoints of the view anew.
-func (f *Fleet) layOut(now time.Time) {
+// rebuild builds all states and lists from the view.
+func (f *Fleet) rebuild(now time.Time) {
 	before := f.states
-	clear(f.wrong)
+	clear(f.wrongState)
 	clear(f.heads)
 	f.states, f.pools, f.routes = make(map[uint32]*State, f.View.Endpoints.Len()), map[string]*Group{}, map[string]*Group{}
 	for name := range f.View.Pools {
 		f.pools[name] = new(Group)
 	}
 	for number, e := range f.View.Endpoints.All() {
-		f.states[number] = f.state(number, e, before[number], now)
-		f.enlist(f.states[number])
-		f.noteWrong(f.states[number])
-		f.heads.change(number, nil, f.states[number].Digest.Heads)
+		f.states[number] = f.newState(number, e, before[number], now)
+		f.addToLists(f.states[number])
+		f.trackWrongState(f.states[number])
+		f.heads.update(number, nil, f.states[number].Digest.Heads)
 	}
 	for number, s := range before {
 		if f.states[number] == nil {
-			f.gone.note(number, s.Spec, f.View.Roster.Era(), now)
+			f.removed.add(number, s.Spec, f.View.Roster.Era(), now)
 		}
 	}
-	f.layOutRoutes()
+	f.rebuildRoutes()
 }
 
-// layOutRoutes lists the endpoints of each route with selectors.
-func (f *Fleet) layOutRoutes() {
+// rebuildRoutes lists the endpoints of each route with selectors.
+func (f *Fleet) rebuildRoutes() {
 	f.routes = map[string]*Group{}
 	for i := range f.View.Routes {
 		r := &f.View.Routes[i]
@@ -156,46 +156,46 @@
 		f.routes[r.Name] = g
 		for number, e := range f.View.Endpoints.All() {
 			if s := f.states[number]; r.Selects(e) {
-				g.Of(s.Role).put(s)
+				g.Of(s.Role).add(s)
 			}
 		}
 	}
 }
 
-// change takes in that the endpoint of a number is another one; nil: it is gone.
-func (f *Fleet) change(number uint32, e *config.Endpoint, now time.Time) {
+// replace sets the endpoint of a number; nil: it was removed.
+func (f *Fleet) replace(number uint32, e *config.Endpoint, now time.Time) {
 	old := f.states[number]
 	if old != nil {
-		f.strike(old)
-		f.heads.change(number, old.Digest.Heads, nil)
+		f.removeFromLists(old)
+		f.heads.update(number, old.Digest.Heads, nil)
 		delete(f.states, number)
-		delete(f.wrong, number)
+		delete(f.wrongState, number)
 		if e == nil {
-			f.gone.note(number, old.Spec, f.View.Roster.Era(), now)
+			f.removed.add(number, old.Spec, f.View.Roster.Era(), now)
 		}
 	}
 	if e != nil {
-		f.states[number] = f.state(number, e, old, now)
-		f.enlist(f.states[number])
-		f.noteWrong(f.states[number])
-		f.heads.change(number, nil, f.states[number].Digest.Heads)
+		f.states[number] = f.newState(number, e, old, now)
+		f.addToLists(f.states[number])
+		f.trackWrongState(f.states[number])
+		f.heads.update(number, nil, f.states[number].Digest.Heads)
 	}
 }
 
-// enlist puts a state on the lists that it belongs to.
-func (f *Fleet) enlist(s *State) {
+// addToLists adds a state to the lists of its pool and of the routes that select it.
+func (f *Fleet) addToLists(s *State) {
 	if g := f.pools[s.Spec.Pool]; g != nil {
-		g.Of(s.Role).put(s)
+		g.Of(s.Role).add(s)
 	}
 	for name, g := range f.routes {
 		if f.View.RouteByName(name).Selects(s.Spec) {
-			g.Of(s.Role).put(s)
+			g.Of(s.Role).add(s)
 		}
 	}
 }
 
-// strike takes a state off all lists.
-func (f *Fleet) strike(s *State) {
+// removeFromLists removes a state from all lists.
+func (f *Fleet) removeFromLists(s *State) {
 	if g := f.pools[s.Spec.Pool]; g != nil {
 		g.Of(s.Role).remove(s)
 	}
@@ -204,56 +204,57 @@
 	}
 }
 
-// state returns the state of an endpoint, with what was known of it before; nil: nothing.
-func (f *Fleet) state(number uint32, e *config.Endpoint, old *State, now time.Time) *State {
+// newState returns the state of an endpoint and carries over what old holds; old may be nil.
+func (f *Fleet) newState(number uint32, e *config.Endpoint, old *State, now time.Time) *State {
 	v := f.View
 	s := &State{Number: number, Domain: max(0, v.DomainIndex(e.Domain)), Region: v.RegionSet(v.Region[e.Domain]), Role: e.Role,
-		Spec: e, Leaving: e.Leaving, Evacuated: v.Emptied(e), Own: f.owns(number), CutOff: f.cutOff[e.Domain], ColdUntil: e.ColdUntil, Notices: f.noticesOf(number, e.Born), Digest: Digest{Number: number}}
+		Spec: e, Leaving: e.Leaving, Evacuated: v.Emptied(e), Own: f.owns(number), CutOff: f.cutOff[e.Domain], ColdUntil: e.ColdUntil, Notices: f.noticesFor(number, e.Born), Digest: Digest{Number: number}}
 	if p := v.Pools[e.Pool]; p != nil {
 		s.Connections = p.Connections
 	}
 	if old != nil {
 		s.inherit(old, now)
 	} else {
-		s.Doubted = f.gone.back(number, e, v.Roster.Era(), now)
+		s.UnconfirmedUntil = f.removed.returned(number, e, v.Roster.Era(), now)
 	}
 	return s
 }
 
-// inherit takes over what was known of the endpoint under another view.
+// inherit carries over what was known of the endpoint under another view.
 func (s *State) inherit(old *State, now time.Time) {
-	if old.Role == s.Role { // else it tells of other work
+	if old.Role == s.Role { // else the digest describes another kind of work
 		s.Digest, s.At = old.Digest, old.At
 	}
-	s.Sent, s.Seen, s.Doubted = old.Sent, old.Seen, old.Doubted
+	s.Sent, s.Seen, s.UnconfirmedUntil = old.Sent, old.Seen, old.UnconfirmedUntil
 	s.MaybeCold, s.NoStart, s.Back = old.MaybeCold, old.NoStart, old.Back
 	s.Limit, s.LimitedUntil = old.Limit, old.LimitedUntil
 	s.LimitTold, s.LimitNews = old.LimitTold, old.LimitNews
 	s.Limit.Restarted(s.Spec.Born)
 	if old.Evacuated && !s.Evacuated {
-		s.Suspect(now)
+		s.AssumeCold(now)
 	}
 }
 
-// evacuate takes in which failure domains are being emptied.
-func (f *Fleet) evacuate(now time.Time) {
+// updateEvacuated applies which failure domains are being evacuated. Endpoints that are no
+// longer evacuated are assumed cold.
+func (f *Fleet) updateEvacuated(now time.Time) {
 	for _, s := range f.states {
-		emptied := f.View.Emptied(s.Spec)
-		if s.Evacuated && !emptied {
-			s.Suspect(now)
+		evacuated := f.View.Emptied(s.Spec)
+		if s.Evacuated && !evacuated {
+			s.AssumeCold(now)
 		}
-		s.Evacuated = emptied
+		s.Evacuated = evacuated
 	}
 }
 
-// SetOwn notes whether this host owns an endpoint, of this view or of a later one.
+// SetOwn records whether this host owns an endpoint, which may belong to a later view.
 func (f *Fleet) SetOwn(number uint32, own bool) {
-	at, there := slices.BinarySearch(f.own, number)
+	at, there := slices.BinarySearch(f.owned, number)
 	switch {
 	case own && !there:
-		f.own = slices.Insert(f.own, at, number)
+		f.owned = slices.Insert(f.owned, at, number)
 	case !own && there:
-		f.own = slices.Delete(f.own, at, at+1)
+		f.owned = slices.Delete(f.owned, at, at+1)
 	}
 	if s := f.states[number]; s != nil {
 		s.Own = own
@@ -261,18 +262,18 @@
 }
 
 // Own yields the endpoints that this host owns.
-func (f *Fleet) Own() iter.Seq[*State] { return f.among(slices.Values(f.own)) }
+func (f *Fleet) Own() iter.Seq[*State] { return f.statesOf(slices.Values(f.owned)) }
 
 func (f *Fleet) owns(number uint32) bool {
-	_, there := slices.BinarySearch(f.own, number)
+	_, there := slices.BinarySearch(f.owned, number)
 	return there
 }
 
-// Wrong yields the endpoints that aren't in the state that was ordered.
-func (f *Fleet) Wrong() iter.Seq[*State] { return f.among(maps.Keys(f.wrong)) }
+// Wrong yields the endpoints that aren't in the ordered state.
+func (f *Fleet) Wrong() iter.Seq[*State] { return f.statesOf(maps.Keys(f.wrongState)) }
 
-// among yields the states of some numbers.
-func (f *Fleet) among(numbers iter.Seq[uint32]) iter.Seq[*State] {
+// statesOf yields the states of numbers that are in the view.
+func (f *Fleet) statesOf(numbers iter.Seq[uint32]) iter.Seq[*State] {
 	return func(yield func(*State) bool) {
 		for number := range numbers {
 			if s := f.states[number]; s != nil && !yield(s) {
@@ -282,8 +283,8 @@
 	}
 }
 
-// Learn takes in a digest that was age old when it came; the fresher one
-// stays. It reports whether the digest was taken.
+// Learn stores a digest, received now at an age of AgeMillis, if it is fresher than the one
+// held. It reports whether the digest was stored.
 func (f *Fleet) Learn(d Digest, now time.Time) bool {
 	at := now.Add(-time.Duration(d.AgeMillis) * time.Millisecond)
 	s := f.states[d.Number]
@@ -293,32 +294,32 @@
 	if d.Heads == nil {
 		d.Heads = s.Digest.Heads
 	} else {
-		f.heads.change(s.Number, s.Digest.Heads, d.Heads)
+		f.heads.update(s.Number, s.Digest.Heads, d.Heads)
 	}
 	s.Digest, s.At = d, at
-	f.noteWrong(s)
+	f.trackWrongState(s)
 	return true
 }
 
-func (f *Fleet) noteWrong(s *State) {
+func (f *Fleet) trackWrongState(s *State) {
 	if s.Digest.Flags&FlagWrong != 0 {
-		f.wrong[s.Number] = true
+		f.wrongState[s.Number] = true
 	} else {
-		delete(f.wrong, s.Number)
+		delete(f.wrongState, s.Number)
 	}
 }
 
-// Drop forgets every digest but what endpoints have cached.
+// Drop discards all digests except which prompt heads endpoints have cached.
 func (f *Fleet) Drop() {
 	for _, s := range f.states {
 		s.Digest = Digest{Number: s.Number, Heads: s.Digest.Heads}
 		s.At = time.Time{}
 	}
-	clear(f.wrong)
+	clear(f.wrongState)
 }
 
-// SetCutOff sets until when a failure domain's endpoints are out of the
-// question; the zero time ends it.
+// SetCutOff sets until when the endpoints of a failure domain count as cut off from this host.
+// The zero time ends it; the endpoints are then assumed cold.
 func (f *Fleet) SetCutOff(domain string, until, now time.Time) {
 	f.cutOff[domain] = until
 	if f.View == nil {
@@ -328,7 +329,7 @@
 		s := f.states[number]
 		s.CutOff = until
 		if until.IsZero() {
-			s.Suspect(now)
+			s.AssumeCold(now)
 		}
 	}
 }
--- a/route/fleet_test.go
+++ b/route/fleet_test.go
@@ -11,7 +11,7 @@
 	"github.com/embercove/embercove/config"
 )
 
-// fleetDocument returns a document of some pools, with a route by selectors.
+// fleetDocument returns a document with one or two pools and a route with selectors.
 func fleetDocument(slots int, second bool) string {
 	pools := fmt.Sprintf(`{"name": "p", "memory_tokens": 9000, "slots": %d, "link_bytes_per_second": 1, "cold_start_ms": 3000, "cold_per_s": 2}`, slots)
 	if second {
@@ -23,9 +23,9 @@
 	"endpoints": [{"name": "own", "address": "127.0.1.1:1", "failure_domain": "a", "role": "prefill", "model": "m", "tokens_per_second": 10000}]}`
 }
 
-// TestFitDifferences plays documents and rosters in random orders to a fleet that goes from
-// view to view, and holds it against one that is laid out for the last view alone: what was
-// taken in by differences has to be the same as what is read anew.
+// TestFitDifferences applies random documents and rosters to a fleet one after the other, and
+// compares it with a fleet built from the last view alone. It guards against incremental
+// updates that leave stale states or list entries.
 func TestFitDifferences(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -60,17 +60,17 @@
 			}
 			roster = &next
 			v = v.WithRoster(roster)
-			if rapid.Bool().Draw(t, "laid out") {
+			if rapid.Bool().Draw(t, "apply now") {
 				f.Fit(v, now)
 			}
 		}
 		f.Fit(v, now)
-		anew, err := config.NewView(v.Revision, v.Source)
+		rebuilt, err := config.NewView(v.Revision, v.Source)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got, want := describeFleet(f), describeFleet(NewFleet(anew.WithRoster(roster))); !slices.Equal(got, want) {
-			t.Fatalf("by differences\n%q\nread anew\n%q", got, want)
+		if got, want := describeFleet(f), describeFleet(NewFleet(rebuilt.WithRoster(roster))); !slices.Equal(got, want) {
+			t.Fatalf("updated incrementally\n%q\nbuilt anew\n%q", got, want)
 		}
 	})
 }
@@ -83,12 +83,12 @@
 		Leaving: rapid.Bool().Draw(t, "leaving")}
 }
 
-// describeFleet tells all that a fleet holds of its view, in order.
+// describeFleet returns all that a fleet derives from its view, sorted.
 func describeFleet(f *Fleet) (out []string) {
 	for s := range f.All() {
 		out = append(out, fmt.Sprintf("%d %+v %d %d %v %v", s.Number, *s.Spec, s.Domain, s.Region, s.Leaving, s.Evacuated))
 		if f.View.Endpoints.Get(s.Number) != s.Spec || f.View.InDomain(s.Spec.Domain).Get(s.Number) != s.Spec {
-			out = append(out, "not of the view: "+s.Spec.Name)
+			out = append(out, "not in the view: "+s.Spec.Name)
 		}
 	}
 	groups := map[string]*Group{"route all": f.routes["all"]}
@@ -103,7 +103,7 @@
 				names := make([]string, 0, len(row))
 				for _, s := range row {
 					if f.Find(s.Number) != s {
-						names = append(names, "not of the fleet: ")
+						names = append(names, "not in the fleet: ")
 					}
 					names = append(names, s.Spec.Name)
 				}
@@ -116,8 +116,8 @@
 	return out
 }
 
-// TestTakenBack has a failure domain emptied and taken back while its endpoints stay as they
-// are, and checks that they count as cold for as long as a start leaves them so.
+// TestTakenBack evacuates a failure domain and ends the evacuation while the registrations stay
+// the same. The endpoints must then count as cold for the length of a cold start.
 func TestTakenBack(t *testing.T) {
 	base, err := config.NewView(1, []byte(fleetDocument(1, false)))
 	if err != nil {
@@ -127,24 +127,24 @@
 	roster := &config.Roster{Revision: 1, Endpoints: config.EndpointsOf([]*config.Endpoint{e})}
 	v := base.WithRoster(roster)
 	f := NewFleet(v)
-	emptied := *roster
-	emptied.Revision, emptied.Evacuated = 2, []config.Evacuation{{Domain: "a", Revision: 2}}
-	v = v.WithRoster(&emptied)
+	evacuated := *roster
+	evacuated.Revision, evacuated.Evacuated = 2, []config.Evacuation{{Domain: "a", Revision: 2}}
+	v = v.WithRoster(&evacuated)
 	f.Fit(v, now)
 	s := f.Find(Number("e"))
 	if !s.Evacuated || s.Cold(now) {
-		t.Errorf("emptied %v, cold %v", s.Evacuated, s.Cold(now))
+		t.Errorf("evacuated %v, cold %v", s.Evacuated, s.Cold(now))
 	}
-	back := *roster
-	back.Revision = 3
-	f.Fit(v.WithRoster(&back), now)
+	ended := *roster
+	ended.Revision = 3
+	f.Fit(v.WithRoster(&ended), now)
 	if s := f.Find(Number("e")); s.Evacuated || !s.Cold(now) || s.Cold(now.Add(3*time.Second)) {
-		t.Errorf("taken back: emptied %v, cold %v, three seconds later %v", s.Evacuated, s.Cold(now), s.Cold(now.Add(3*time.Second)))
+		t.Errorf("evacuation ended: evacuated %v, cold %v, three seconds later %v", s.Evacuated, s.Cold(now), s.Cold(now.Add(3*time.Second)))
 	}
 }
 
-// TestNothingYet asks a fleet before its first view, as another host's exchange may while the
-// first revision is being laid out.
+// TestNothingYet calls a fleet before its first view, as another host's exchange may do while
+// the first revision is being loaded.
 func TestNothingYet(t *testing.T) {
 	f := NewFleet(nil)
 	f.SetOwn(7, true)
--- a/route/gate.go
+++ b/route/gate.go
@@ -5,29 +5,29 @@
 // Bar is why a request may not go to an endpoint now.
 type Bar uint8
 
-// The bars, in the order in which they are looked at. Those that hold for any request
-// come first.
+// The reasons, in the order in which they are checked. Those that apply to every request come
+// first.
 const (
 	BarNone        Bar = iota
 	BarGone            // no longer in the configuration
-	BarLeaving         // the endpoint leaves
-	BarDoubted         // it was gone, and a copy of the store may have brought its registration back
-	BarEvacuated       // its failure domain is being emptied
-	BarDown            // out of its owner's reach
-	BarWrong           // not in the state that was ordered
+	BarLeaving         // the endpoint is leaving
+	BarDoubted         // its registration was gone and may have been restored from an old copy of the store
+	BarEvacuated       // its failure domain is being evacuated
+	BarDown            // its owner can't reach it
+	BarWrong           // not in the ordered state
 	BarCutOff          // its failure domain is cut off from this host
-	BarResting         // it asked this host for rest
-	BarHome            // its region is not one in which the request may be served
-	BarRegion          // in another region, which the request has no reason to go to
-	BarCold            // cold, and no start is to be had there yet
-	BarLimited         // it names a limit, and no start is to be had there yet
-	BarConnections     // this host's part of the connections that it takes is used up
+	BarResting         // it asked this host to back off
+	BarHome            // its region is not one of the request's allowed regions
+	BarRegion          // in a remote region, and the request has no reason to be redirected
+	BarCold            // cold, and no start permit is available yet
+	BarLimited         // it names a limit, and no start permit is available yet
+	BarConnections     // this host's share of its connections is used up
 	BarExcluded        // refused or failed the request before
-	BarTrial           // a request that is tried with it may end it runs there
-	bars
+	BarTrial           // it runs the probe of a request that may crash it
+	reasonCount
 )
 
-// String returns the bar in words, as operators see it.
+// String returns the reason as operators see it.
 func (b Bar) String() string {
 	switch b {
 	case BarNone:
@@ -39,53 +39,53 @@
 	case BarDoubted:
 		return "gone before the store came back from a copy"
 	case BarEvacuated:
-		return "its failure domain is being emptied"
+		return "its failure domain is being evacuated"
 	case BarDown:
-		return "out of reach of its owner"
+		return "unreachable from its owner"
 	case BarWrong:
 		return "not in the ordered state"
 	case BarCutOff:
 		return "its failure domain is cut off from this host"
 	case BarResting:
-		return "it asked this host for rest"
+		return "it asked this host to back off"
 	case BarHome:
-		return "its region is none in which the request may be served"
+		return "its region is not allowed for the request"
 	case BarRegion:
 		return "in another region"
 	case BarCold:
-		return "cold, with no start to be had yet"
+		return "cold, and no start permit is available yet"
 	case BarLimited:
-		return "at the limit that it names, with no start to be had yet"
+		return "at the limit that it names, and no start permit is available yet"
 	case BarConnections:
-		return "this host's part of the connections that it takes is used up"
+		return "this host's share of its connections is used up"
 	case BarExcluded:
 		return "refused or failed this request before"
 	case BarTrial:
-		return "another request under which endpoints ended runs there"
+		return "it runs the probe of another request that may crash endpoints"
 	}
 	return "unknown"
 }
 
-// Bars lists all bars, in their order.
+// Bars lists all reasons in order.
 func Bars() (out []Bar) {
-	for b := BarGone; b < bars; b++ {
+	for b := BarGone; b < reasonCount; b++ {
 		out = append(out, b)
 	}
 	return out
 }
 
-// Label returns the bar as a label of metrics.
+// Label returns the reason as a metric label.
 func (b Bar) Label() string {
-	return [bars]string{"", "gone", "leaving", "doubted", "emptied", "down", "wrong_state", "cut_off", "resting", "no_home", "other_region", "cold", "limited", "connections", "excluded", "trial"}[b]
+	return [reasonCount]string{"", "gone", "leaving", "doubted", "emptied", "down", "wrong_state", "cut_off", "resting", "no_home", "other_region", "cold", "limited", "connections", "excluded", "trial"}[b]
 }
 
-// Barred returns why a request may not be sent to an endpoint of any role now; BarNone:
-// it may. Every way out asks it, when an endpoint is chosen and again just before the call.
+// Barred returns why a request may not be sent to an endpoint of any role now; BarNone: it may.
+// Every path checks it when an endpoint is chosen and again just before the call.
 func Barred(s *State, r *Request) Bar {
 	switch {
 	case s.IsLeaving():
 		return BarLeaving
-	case r.Now.Before(s.Doubted):
+	case r.Now.Before(s.UnconfirmedUntil):
 		return BarDoubted
 	case s.Evacuated, r.Shut&(1<<s.Domain) != 0:
 		return BarEvacuated
@@ -105,7 +105,7 @@
 		return BarCold
 	case r.Now.Before(s.NoStart) && s.Limit.Word().Named:
 		return BarLimited
-	case !s.connects(r.Hosts):
+	case !s.hasConnection(r.Hosts):
 		return BarConnections
 	case r.Excluded(s.Number):
 		return BarExcluded
@@ -113,39 +113,40 @@
 	return BarNone
 }
 
-// connectionsPart is the part of an endpoint's connections that hosts share. Calls that are just
-// being made aren't counted yet, and a host that starts isn't known to the others at once.
-const connectionsPart = 0.9
+// connectionsShare is the part of an endpoint's connections that is divided among the hosts. The
+// rest is a margin: calls being set up aren't counted yet, and the other hosts don't know of a
+// new host at once.
+const connectionsShare = 0.9
 
-// connects reports whether one more call keeps this host within its even part of the connections
-// that a plain service takes from all hosts. It resets what is beyond them, and a call that it
-// reset may have run. What engines run at once is known to their owners, and is less.
-func (s *State) connects(hosts int) bool {
+// hasConnection reports whether one more call keeps this host within its even share of the
+// connections that a plain service accepts from all hosts. The service resets connections beyond
+// its limit, and a call that was reset may have run. Engines aren't checked: their owners bound
+// what they run at once, which is less.
+func (s *State) hasConnection(hosts int) bool {
 	if s.Role != config.Service || s.Connections == 0 {
 		return true
 	}
-	return s.Sent < max(1, int(connectionsPart*float64(s.Connections)/float64(max(1, hosts))))
+	return s.Sent < max(1, int(connectionsShare*float64(s.Connections)/float64(max(1, hosts))))
 }
 
 // Open reports whether a request may be sent to an endpoint of any role now.
 func Open(s *State, r *Request) bool { return Barred(s, r) == BarNone }
 
-// Blame returns what bars most of some endpoints from a request, of which it may go to
-// none; BarNone: there are none. Regions that it has no reason to go to don't count
-// where anything else bars.
+// Blame returns the most frequent reason among endpoints of which none is eligible for a request;
+// BarNone: the list is empty. BarRegion counts only if there is no other reason.
 func Blame(list []*State, r *Request) Bar {
-	var counts [bars]int
+	var counts [reasonCount]int
 	for _, s := range list {
 		counts[Barred(s, r)]++
 	}
-	blamed := BarNone
-	for b := BarGone; b < bars; b++ {
-		if b != BarRegion && counts[b] > counts[blamed] {
-			blamed = b
+	reason := BarNone
+	for b := BarGone; b < reasonCount; b++ {
+		if b != BarRegion && counts[b] > counts[reason] {
+			reason = b
 		}
 	}
-	if blamed == BarNone && counts[BarRegion] > 0 {
+	if reason == BarNone && counts[BarRegion] > 0 {
 		return BarRegion
 	}
-	return blamed
+	return reason
 }
--- a/route/gate_test.go
+++ b/route/gate_test.go
@@ -8,18 +8,19 @@
 	"github.com/embercove/embercove/pace"
 )
 
-// TestLabels checks that each bar has a label of its own and words.
+// TestLabels checks that each reason has a unique label and a text.
 func TestLabels(t *testing.T) {
 	seen := map[string]bool{"": true}
 	for _, b := range Bars() {
 		if l := b.Label(); seen[l] || b.String() == "unknown" {
-			t.Errorf("bar %d: label %q, %q", b, l, b)
+			t.Errorf("reason %d: label %q, %q", b, l, b)
 		}
 		seen[b.Label()] = true
 	}
 }
 
-// TestBarred changes one thing about an endpoint or a request and names what bars it.
+// TestBarred changes one property of an endpoint or a request and checks the reason that excludes
+// the endpoint.
 func TestBarred(t *testing.T) {
 	const own, other, third config.Regions = 1, 2, 4
 	for _, tc := range []struct {
@@ -31,54 +32,54 @@
 		{"leaving by the configuration", func(s *State, _ *Request) { s.Leaving = true }, BarLeaving},
 		{"leaving by its report", func(s *State, _ *Request) { s.Digest.Flags = FlagLeaving }, BarLeaving},
 		{"leaving by its answers", func(s *State, _ *Request) { s.Notices = &Notices{Leaving: true} }, BarLeaving},
-		{"it wants rest", func(s *State, r *Request) { s.Notices = &Notices{Rest: r.Now.Add(time.Millisecond)} }, BarResting},
-		{"its rest is over", func(s *State, r *Request) { s.Notices = &Notices{Rest: r.Now} }, BarNone},
-		{"the first request after its rest is out", func(s *State, r *Request) { s.Notices = &Notices{Rest: r.Now, probed: r.Now.Add(time.Second)} }, BarResting},
+		{"it asked for backoff", func(s *State, r *Request) { s.Notices = &Notices{Rest: r.Now.Add(time.Millisecond)} }, BarResting},
+		{"its backoff is over", func(s *State, r *Request) { s.Notices = &Notices{Rest: r.Now} }, BarNone},
+		{"the first request after its backoff is unanswered", func(s *State, r *Request) { s.Notices = &Notices{Rest: r.Now, probeUntil: r.Now.Add(time.Second)} }, BarResting},
 		{"down", func(s *State, _ *Request) { s.Digest.Flags = FlagDown }, BarDown},
 		{"wrong state", func(s *State, _ *Request) { s.Digest.Flags = FlagWrong }, BarWrong},
 		{"emptied", func(s *State, _ *Request) { s.Evacuated = true }, BarEvacuated},
-		{"emptied by owners' word", func(s *State, r *Request) { s.Domain, r.Shut = 3, 1<<3 }, BarEvacuated},
-		{"another is emptied by owners' word", func(s *State, r *Request) { s.Domain, r.Shut = 3, 1<<2 }, BarNone},
-		{"emptied and down", func(s *State, _ *Request) { s.Evacuated, s.Digest.Flags = true, FlagDown }, BarEvacuated},
+		{"evacuated by owners' reports", func(s *State, r *Request) { s.Domain, r.Shut = 3, 1<<3 }, BarEvacuated},
+		{"another domain is evacuated by owners' reports", func(s *State, r *Request) { s.Domain, r.Shut = 3, 1<<2 }, BarNone},
+		{"evacuated and down", func(s *State, _ *Request) { s.Evacuated, s.Digest.Flags = true, FlagDown }, BarEvacuated},
 		{"cut off", func(s *State, r *Request) { s.CutOff = r.Now.Add(time.Second) }, BarCutOff},
 		{"cut off until now", func(s *State, r *Request) { s.CutOff = r.Now }, BarNone},
 		{"cold", func(s *State, r *Request) { s.ColdUntil = r.Now.Add(time.Second) }, BarNone},
-		{"cold without a start", func(s *State, r *Request) {
+		{"cold without a permit", func(s *State, r *Request) {
 			s.ColdUntil, s.NoStart = r.Now.Add(time.Second), r.Now.Add(time.Millisecond)
 		}, BarCold},
-		{"cold by its owner's word without a start", func(s *State, r *Request) {
+		{"cold by its owner's report without a permit", func(s *State, r *Request) {
 			s.Digest.Flags, s.At, s.NoStart = FlagCold, r.Now, r.Now.Add(time.Millisecond)
 		}, BarCold},
 		{"no longer cold", func(s *State, r *Request) { s.ColdUntil, s.NoStart = r.Now, r.Now.Add(time.Second) }, BarNone},
-		{"its connections are this host's", func(s *State, r *Request) { s.Role, s.Connections, s.Sent, r.Hosts = config.Service, 20, 9, 2 }, BarConnections},
+		{"this host's share of connections is used up", func(s *State, r *Request) { s.Role, s.Connections, s.Sent, r.Hosts = config.Service, 20, 9, 2 }, BarConnections},
 		{"one of them is left", func(s *State, r *Request) { s.Role, s.Connections, s.Sent, r.Hosts = config.Service, 20, 8, 2 }, BarNone},
 		{"more hosts than connections", func(s *State, r *Request) { s.Role, s.Connections, r.Hosts = config.Service, 20, 300 }, BarNone},
 		{"an engine's connections", func(s *State, r *Request) { s.Role, s.Connections, s.Sent, r.Hosts = config.Decode, 20, 50, 2 }, BarNone},
-		{"at its limit without a start", func(s *State, r *Request) {
+		{"at its limit without a permit", func(s *State, r *Request) {
 			s.Limit.Hear(r.Now, pace.Word{Named: true, At: r.Now})
 			s.NoStart = r.Now.Add(time.Millisecond)
 		}, BarLimited},
 		{"at its limit", func(s *State, r *Request) { s.Limit.Hear(r.Now, pace.Word{Named: true, At: r.Now}) }, BarNone},
 		{"excluded", func(s *State, r *Request) { r.Drop(s.Number) }, BarExcluded},
 		{"another region", func(s *State, _ *Request) { s.Region = other }, BarRegion},
-		{"another region that it may leave for", func(s *State, r *Request) { s.Region, r.Reach = other, other }, BarNone},
-		{"a home", func(_ *State, r *Request) { r.Homes = own | other }, BarNone},
-		{"no home", func(_ *State, r *Request) { r.Homes = other }, BarHome},
-		{"no home that it may leave for", func(s *State, r *Request) { s.Region, r.Reach, r.Homes = other, other, own|third }, BarHome},
-		{"a home that it has no reason to leave for", func(s *State, r *Request) { s.Region, r.Homes = other, own|other }, BarRegion},
+		{"another region that it may be redirected to", func(s *State, r *Request) { s.Region, r.Reach = other, other }, BarNone},
+		{"an allowed region", func(_ *State, r *Request) { r.Homes = own | other }, BarNone},
+		{"no allowed region", func(_ *State, r *Request) { r.Homes = other }, BarHome},
+		{"a reachable region that is not allowed", func(s *State, r *Request) { s.Region, r.Reach, r.Homes = other, other, own|third }, BarHome},
+		{"an allowed region that it has no reason to be redirected to", func(s *State, r *Request) { s.Region, r.Homes = other, own|other }, BarRegion},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			s := &State{Number: 7, Region: own, Spec: &config.Endpoint{ColdPerSecond: 21}}
 			r := &Request{Region: own, Now: now}
 			tc.change(s, r)
 			if got := Barred(s, r); got != tc.want || Open(s, r) != (tc.want == BarNone) {
-				t.Errorf("barred as %q, want %q", got, tc.want)
+				t.Errorf("reason %q, want %q", got, tc.want)
 			}
 		})
 	}
 }
 
-// TestBlame checks that a refusal names what holds back most endpoints.
+// TestBlame checks that a refusal names the reason that excludes most endpoints.
 func TestBlame(t *testing.T) {
 	r := &Request{Region: 1, Now: now}
 	states := []*State{{Region: 1, Evacuated: true}, {Region: 1, Evacuated: true}, {Region: 1, Leaving: true}, {Region: 2}, {Region: 2}, {Region: 2}}
--- a/route/gone.go
+++ b/route/gone.go
@@ -6,57 +6,57 @@
 	"github.com/embercove/embercove/config"
 )
 
-// gone is an endpoint whose registration was gone.
-type gone struct {
-	born int64 // start of its process; 0: unknown
-	era  uint64
-	at   time.Time
+// removal records an endpoint whose registration was removed.
+type removal struct {
+	started int64 // start time of its process; 0: unknown
+	era     uint64
+	at      time.Time
 }
 
 const (
-	// goneKept is for how long it is known that an endpoint was gone. Copies of stores are some
+	// removalTTL is how long a removal is remembered. A restored copy of the store is some
 	// seconds old.
-	goneKept = time.Minute
-	// fewGone is how many are known whatever their age.
-	fewGone = 64
-	// doubtedFor is how long an endpoint isn't used that was gone and is registered again by a
-	// store that came back from a copy. The registration of one that doesn't live runs out by then.
-	doubtedFor = 5 * time.Second
+	removalTTL = time.Minute
+	// minRemovals is how many removals are kept regardless of age.
+	minRemovals = 64
+	// unconfirmedFor is how long an endpoint isn't used after a store restored from an old copy
+	// brought its removed registration back. The registration of a dead endpoint expires by then.
+	unconfirmedFor = 5 * time.Second
 )
 
-// goneTable knows the endpoints that have gone lately.
-type goneTable struct {
-	of   map[uint32]gone
-	left int // when old ones were dropped last
+// removals remembers the endpoints that were removed recently.
+type removals struct {
+	byNumber   map[uint32]removal
+	afterSweep int // len(byNumber) after old ones were last dropped
 }
 
-// note takes in that an endpoint has gone.
-func (t *goneTable) note(number uint32, e *config.Endpoint, era uint64, now time.Time) {
-	if t.of == nil {
-		t.of = map[uint32]gone{}
+// add records that an endpoint was removed.
+func (t *removals) add(number uint32, e *config.Endpoint, era uint64, now time.Time) {
+	if t.byNumber == nil {
+		t.byNumber = map[uint32]removal{}
 	}
-	if len(t.of) >= max(fewGone, 2*t.left) {
-		for n, g := range t.of {
-			if now.Sub(g.at) > goneKept {
-				delete(t.of, n)
+	if len(t.byNumber) >= max(minRemovals, 2*t.afterSweep) {
+		for n, g := range t.byNumber {
+			if now.Sub(g.at) > removalTTL {
+				delete(t.byNumber, n)
 			}
 		}
-		t.left = len(t.of)
+		t.afterSweep = len(t.byNumber)
 	}
-	t.of[number] = gone{e.Born, era, now}
+	t.byNumber[number] = removal{e.Born, era, now}
 }
 
-// back takes in that an endpoint is registered that wasn't, and returns until when it is in
-// doubt: it was gone in an earlier era, and hasn't started since.
-func (t *goneTable) back(number uint32, e *config.Endpoint, era uint64, now time.Time) (until time.Time) {
-	g, was := t.of[number]
+// returned handles a new registration and returns until when the endpoint counts as unconfirmed:
+// it was removed in an earlier era of the store and hasn't restarted since.
+func (t *removals) returned(number uint32, e *config.Endpoint, era uint64, now time.Time) (until time.Time) {
+	g, was := t.byNumber[number]
 	if !was {
 		return time.Time{}
 	}
-	delete(t.of, number)
-	restarted := g.born != 0 && e.Born > g.born
-	if restarted || era <= g.era || now.Sub(g.at) > goneKept {
+	delete(t.byNumber, number)
+	restarted := g.started != 0 && e.Born > g.started
+	if restarted || era <= g.era || now.Sub(g.at) > removalTTL {
 		return time.Time{}
 	}
-	return now.Add(doubtedFor)
+	return now.Add(unconfirmedFor)
 }
--- a/route/heads.go
+++ b/route/heads.go
@@ -1,33 +1,33 @@
 package route
 
-// heads knows which endpoints have cached prompts that begin with a block, so that a choice
-// finds them among thousands.
-type heads map[uint32][]uint32
+// headIndex maps the first block of a prompt to the endpoints that have cached prompts beginning
+// with it, so that a choice finds them among thousands.
+type headIndex map[uint32][]uint32
 
-// mostOfHead bounds how many endpoints are known of one block.
-const mostOfHead = 16
+// maxPerHead bounds how many endpoints are indexed per block.
+const maxPerHead = 16
 
-// of returns the endpoints that have cached the block that a request's prompt begins with.
-func (h heads) of(r *Request) []uint32 {
+// lookup returns the endpoints that have cached the first block of a request's prompt.
+func (h headIndex) lookup(r *Request) []uint32 {
 	if !r.HasHead {
 		return nil
 	}
 	return h[r.Head]
 }
 
-// change takes in that an endpoint has cached other prompts than before.
-func (h heads) change(number uint32, before, now []HeadDigest) {
+// update replaces the cached prompts of an endpoint.
+func (h headIndex) update(number uint32, before, now []HeadDigest) {
 	for _, d := range before {
 		h.remove(d.Head, number)
 	}
 	for _, d := range now {
-		if of := h[d.Head]; len(of) < mostOfHead {
+		if of := h[d.Head]; len(of) < maxPerHead {
 			h[d.Head] = append(of, number)
 		}
 	}
 }
 
-func (h heads) remove(head, number uint32) {
+func (h headIndex) remove(head, number uint32) {
 	of := h[head]
 	for i := range of {
 		if of[i] != number {
--- a/route/list.go
+++ b/route/list.go
@@ -1,21 +1,21 @@
 package route
 
-// List is a set of endpoints that a request may go to. The zero value is empty.
+// List is a set of endpoints, also indexed by failure domain. The zero value is empty.
 type List struct {
-	all      members
-	byDomain []members // by the index of the failure domain
+	all      stateSet
+	byDomain []stateSet // by the index of the failure domain
 }
 
-// members are states in no order, and where each stands.
-type members struct {
-	rows []*State
-	at   map[uint32]int
+// stateSet holds states in no order, and the index of each.
+type stateSet struct {
+	rows  []*State
+	index map[uint32]int
 }
 
 // All returns the states, which must not be changed.
 func (l *List) All() []*State { return l.all.rows }
 
-// In returns those of a failure domain, by its index.
+// In returns the states in the failure domain with an index.
 func (l *List) In(domain int) []*State {
 	if domain >= len(l.byDomain) {
 		return nil
@@ -23,20 +23,20 @@
 	return l.byDomain[domain].rows
 }
 
-// Find returns the state of a number, if it is on the list.
+// Find returns the state of a number, or nil.
 func (l *List) Find(number uint32) *State {
-	if i, there := l.all.at[number]; there {
+	if i, there := l.all.index[number]; there {
 		return l.all.rows[i]
 	}
 	return nil
 }
 
-func (l *List) put(s *State) {
-	l.all.put(s)
+func (l *List) add(s *State) {
+	l.all.add(s)
 	for len(l.byDomain) <= s.Domain {
-		l.byDomain = append(l.byDomain, members{})
+		l.byDomain = append(l.byDomain, stateSet{})
 	}
-	l.byDomain[s.Domain].put(s)
+	l.byDomain[s.Domain].add(s)
 }
 
 func (l *List) remove(s *State) {
@@ -46,24 +46,24 @@
 	}
 }
 
-func (m *members) put(s *State) {
-	if m.at == nil {
-		m.at = map[uint32]int{}
+func (m *stateSet) add(s *State) {
+	if m.index == nil {
+		m.index = map[uint32]int{}
 	}
-	m.at[s.Number] = len(m.rows)
+	m.index[s.Number] = len(m.rows)
 	m.rows = append(m.rows, s)
 }
 
-// remove puts the last one in the place of the one that goes.
-func (m *members) remove(s *State) {
-	i, there := m.at[s.Number]
+// remove moves the last state into the slot of the removed one.
+func (m *stateSet) remove(s *State) {
+	i, there := m.index[s.Number]
 	if !there {
 		return
 	}
 	last := len(m.rows) - 1
 	m.rows[i] = m.rows[last]
-	m.at[m.rows[i].Number] = i
+	m.index[m.rows[i].Number] = i
 	m.rows[last] = nil
 	m.rows = m.rows[:last]
-	delete(m.at, s.Number)
+	delete(m.index, s.Number)
 }
--- a/route/notices.go
+++ b/route/notices.go
@@ -2,129 +2,130 @@
 
 import "time"
 
-// Notice is what one answer of an endpoint said of it to this host.
+// Notice is what one response of an endpoint said about the endpoint itself.
 type Notice struct {
 	Leaving bool
-	Rest    time.Duration // for which the endpoint wants no request of this host; 0: it asks for none
-	Born    int64         // start of the endpoint's process; 0: unknown
+	Rest    time.Duration // for how long the endpoint asks this host to back off; 0: not at all
+	Born    int64         // start time of the endpoint's process; 0: unknown
 	Sent    time.Time     // when the call was made
-	Heard   time.Time     // when the head of its answer came
+	Heard   time.Time     // when the response header came
 }
 
-// Notices are what answers of an endpoint's process have said of it to this host. They hold
-// whatever is registered of the endpoint meanwhile, until a later start of it is.
+// Notices is the state that an endpoint's responses have announced to this host. It holds
+// regardless of the registration, until a later start of the endpoint is registered.
 type Notices struct {
 	Leaving bool
-	Rest    time.Time // until when the endpoint wants no request
+	Rest    time.Time // until when this host backs off
 
-	probed time.Time // until when the first request after the rest is waited for
-	proved bool      // an answer to a call after the rest has come
-	born   int64
-	last   time.Time // when the last of them was heard
+	probeUntil   time.Time // until when the response to the first request after the backoff is awaited
+	recovered    bool      // a call made after the backoff was answered
+	started      int64
+	lastReceived time.Time // when the last notice was received
 }
 
-// probeFor is how long the answer to the first request after a rest is waited for, before another
-// is sent.
-const probeFor = time.Second
+// probeTimeout is how long the response to the first request after a backoff is awaited before
+// another is sent.
+const probeTimeout = time.Second
 
-// isResting reports whether the endpoint wants no request, or whether it takes any again is just
-// being found out by one.
-func (n *Notices) isResting(now time.Time) bool {
-	return n != nil && (now.Before(n.Rest) || !n.proved && now.Before(n.probed))
+// isBackingOff reports whether the endpoint asked for backoff, or a first request is just probing
+// whether it accepts requests again.
+func (n *Notices) isBackingOff(now time.Time) bool {
+	return n != nil && (now.Before(n.Rest) || !n.recovered && now.Before(n.probeUntil))
 }
 
-// Admit reports whether a call may be made now. The first one after a rest bars the others until
-// its answer comes: all at once would be turned away by an endpoint that rests again.
+// Admit reports whether a call may be made now. The first call after a backoff blocks others until
+// it is answered: if the endpoint backs off again, it would refuse all of them at once.
 func (n *Notices) Admit(now time.Time) bool {
 	switch {
-	case n == nil || n.Rest.IsZero() || n.proved:
+	case n == nil || n.Rest.IsZero() || n.recovered:
 		return true
-	case n.isResting(now):
+	case n.isBackingOff(now):
 		return false
 	}
-	n.probed = now.Add(probeFor)
+	n.probeUntil = now.Add(probeTimeout)
 	return true
 }
 
-// NoticeChange is what a notice changes for a host.
+// NoticeChange is what a notice changed.
 type NoticeChange struct {
-	Leaves bool // the endpoint said for the first time that it leaves
-	Rests  bool // it asked for rest, and was given none before
+	Leaves bool // the endpoint announced for the first time that it is leaving
+	Rests  bool // it asked for backoff, and none was in effect
 }
 
-// hear takes in a notice of the endpoint's process.
-func (n *Notices) hear(said Notice) (c NoticeChange) {
-	c.Leaves = said.Leaving && !n.Leaving
-	c.Rests = said.Rest > 0 && !said.Heard.Before(n.Rest)
-	n.Leaving = n.Leaving || said.Leaving
-	until := said.Heard.Add(said.Rest)
+// observe applies a notice of the endpoint's process.
+func (n *Notices) observe(notice Notice) (c NoticeChange) {
+	c.Leaves = notice.Leaving && !n.Leaving
+	c.Rests = notice.Rest > 0 && !notice.Heard.Before(n.Rest)
+	n.Leaving = n.Leaving || notice.Leaving
+	until := notice.Heard.Add(notice.Rest)
 	switch {
-	case said.Rest > 0 && until.After(n.Rest):
-		n.Rest, n.probed, n.proved = until, time.Time{}, false
-	case said.Rest == 0 && !said.Sent.Before(n.Rest):
-		n.proved = true
+	case notice.Rest > 0 && until.After(n.Rest):
+		n.Rest, n.probeUntil, n.recovered = until, time.Time{}, false
+	case notice.Rest == 0 && !notice.Sent.Before(n.Rest):
+		n.recovered = true
 	}
-	n.last = said.Heard
+	n.lastReceived = notice.Heard
 	return c
 }
 
-// isOf reports whether the notices are those of a start of the endpoint. The first start that is
-// told may be theirs.
-func (n *Notices) isOf(born int64) bool {
-	if n.born == 0 {
-		n.born = born
+// belongsTo reports whether the notices are of a process with this start time or a later one. If
+// their start time is unknown, the first one reported is assumed to be theirs.
+func (n *Notices) belongsTo(started int64) bool {
+	if n.started == 0 {
+		n.started = started
 	}
-	return born <= n.born
+	return started <= n.started
 }
 
 const (
-	// noticesKept is for how long an endpoint's notices are kept while it isn't registered: a
-	// registration that ran out may come back.
-	noticesKept = 10 * time.Minute
-	// fewNotices is how many are kept whatever their age.
-	fewNotices = 64
+	// noticesTTL is how long the notices of an unregistered endpoint are kept: an expired
+	// registration may come back.
+	noticesTTL = 10 * time.Minute
+	// minNotices is how many are kept regardless of age.
+	minNotices = 64
 )
 
-// Hear takes in what an answer of an endpoint said of it, which may have lost its registration
-// meanwhile.
-func (f *Fleet) Hear(number uint32, said Notice) (c NoticeChange) {
+// Hear applies a notice of an endpoint, which may have lost its registration meanwhile. Notices of
+// an earlier start of the endpoint are ignored.
+func (f *Fleet) Hear(number uint32, notice Notice) (c NoticeChange) {
 	s := f.states[number]
-	n := f.noticesOf(number, said.Born)
-	says := said.Leaving || said.Rest > 0
-	if s != nil && said.Born < s.Spec.Born || n != nil && said.Born < n.born || n == nil && !says {
+	n := f.noticesFor(number, notice.Born)
+	announces := notice.Leaving || notice.Rest > 0
+	if s != nil && notice.Born < s.Spec.Born || n != nil && notice.Born < n.started || n == nil && !announces {
 		return NoticeChange{}
 	}
 	if n == nil {
-		f.forgetNotices(said.Heard)
-		n = &Notices{born: said.Born}
+		f.expireNotices(notice.Heard)
+		n = &Notices{started: notice.Born}
 		f.notices[number] = n
 	}
 	if s != nil {
 		s.Notices = n
 	}
-	return n.hear(said)
+	return n.observe(notice)
 }
 
-// noticesOf returns what is known of an endpoint's process by its answers; nil: nothing.
-func (f *Fleet) noticesOf(number uint32, born int64) *Notices {
+// noticesFor returns the notices of an endpoint's process; nil: none. It drops those of an earlier
+// start.
+func (f *Fleet) noticesFor(number uint32, started int64) *Notices {
 	n := f.notices[number]
-	if n != nil && !n.isOf(born) {
+	if n != nil && !n.belongsTo(started) {
 		delete(f.notices, number)
 		return nil
 	}
 	return n
 }
 
-// forgetNotices drops the notices of endpoints that have been gone for long, whenever there
-// are twice as many notices as were left by the last time.
-func (f *Fleet) forgetNotices(now time.Time) {
-	if len(f.notices) < max(fewNotices, 2*f.noticesLeft) {
+// expireNotices drops notices of endpoints that have long been unregistered. It runs when there
+// are twice as many notices as the last run left.
+func (f *Fleet) expireNotices(now time.Time) {
+	if len(f.notices) < max(minNotices, 2*f.noticesAfterSweep) {
 		return
 	}
 	for number, n := range f.notices {
-		if f.states[number] == nil && now.Sub(n.last) > noticesKept {
+		if f.states[number] == nil && now.Sub(n.lastReceived) > noticesTTL {
 			delete(f.notices, number)
 		}
 	}
-	f.noticesLeft = len(f.notices)
+	f.noticesAfterSweep = len(f.notices)
 }
--- a/route/pair_test.go
+++ b/route/pair_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestPairs checks that the two halves of a request stay in one region, whatever is
-// cheaper, and that an answer is written where its prompt was read.
+// TestPairs checks that prefill and decode of a request stay in one region even if a pair across
+// regions is cheaper, and that decode follows a prefill that is already done.
 func TestPairs(t *testing.T) {
 	v := testView(t, 3, 3) // p2 and d2 lie in the other region
 	here, far := v.RegionSet("r"), v.RegionSet("far")
@@ -24,9 +24,9 @@
 	}
 	r.Pair = far
 	if c := f.PickDecode(r); c.Decode != states[5].Spec {
-		t.Errorf("the prompt was read in the other region, its answer is written at %+v", c.Decode)
+		t.Errorf("prefill ran in the other region, decode is at %+v", c.Decode)
 	}
 	if c := f.Pick(r); c.Prefill != states[2].Spec || c.Decode != states[5].Spec {
-		t.Errorf("chose %+v for a prompt that was read in the other region", c)
+		t.Errorf("chose %+v for a request whose prefill ran in the other region", c)
 	}
 }
--- a/route/pick_test.go
+++ b/route/pick_test.go
@@ -8,8 +8,8 @@
 	"github.com/embercove/embercove/config"
 )
 
-// testView returns a view of three domains with prefill engines p0.. and
-// decode engines d0.., spread over the domains in turn.
+// testView returns a view of three failure domains, with prefill engines p0.. and decode engines
+// d0.. distributed round robin.
 func testView(t testing.TB, prefills, decodes int) *config.View {
 	t.Helper()
 	src := `{"failure_domains": [{"name": "a", "region": "r", "link_bytes_per_second": 1000000000}, {"name": "b", "region": "r"}, {"name": "c", "region": "far"}],
@@ -34,7 +34,7 @@
 
 var now = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// fresh lays a view out with idle digests from just now.
+// fresh returns the fleet of a view and its states, with recent digests of idle endpoints.
 func fresh(v *config.View) (*Fleet, []*State) {
 	f := NewFleet(v)
 	var states []*State
@@ -47,10 +47,9 @@
 	return f, states
 }
 
-// TestPick states one thing about an otherwise idle pool and names the pair
-// that has to be chosen. p0, p3, d0 and d3 are in the home domain a; p1, p4,
-// d1 and d4 in b, from which no link leads into it; p2, p5, d2 and d5 are in
-// another region.
+// TestPick changes one property of an otherwise idle pool and checks the chosen pair. p0, p3, d0
+// and d3 are in a, the entry host's failure domain. p1, p4, d1 and d4 are in b, which no link
+// leads into. p2, p5, d2 and d5 are in another region.
 func TestPick(t *testing.T) {
 	const (
 		p0, p1, p2, p3, p4, p5 = 0, 1, 2, 3, 4, 5
@@ -71,7 +70,7 @@
 		{name: "no link into b", change: func(s []*State, _ *Request) {
 			s[d0].Digest.WaitMillis, s[d3].Digest.WaitMillis = 2000, 2000
 		}, pre: []int{p1, p4}, dec: []int{d1, d4}},
-		{name: "cached elsewhere in the domain", change: func(s []*State, r *Request) {
+		{name: "cached at the other engine of the domain", change: func(s []*State, r *Request) {
 			s[p3].Digest.Heads, r.Head, r.HasHead = []HeadDigest{{77, 3000}}, 77, true
 			s[p3].Digest.QueueMillis = 100
 		}, pre: []int{p3}, dec: []int{d0, d3}},
@@ -79,12 +78,12 @@
 			s[p3].Digest.Heads, r.Head, r.HasHead = []HeadDigest{{77, 3000}}, 77, true
 			s[p3].Digest.QueueMillis, s[p3].Digest.TrustPct = 150, 5
 		}, pre: []int{p0}, dec: []int{d0, d3}},
-		{name: "on trial: where fewest are in progress", change: func(s []*State, r *Request) {
+		{name: "a probe: where fewest are in progress", change: func(s []*State, r *Request) {
 			s[d0].Digest.FreeSlots -= 2
 			s[d3].Digest.FreeSlots -= 2
 			r.Trial = true
 		}, pre: []int{p0, p1, p3, p4}, dec: []int{d1, d4}},
-		{name: "not on trial", change: func(s []*State, _ *Request) {
+		{name: "not a probe", change: func(s []*State, _ *Request) {
 			s[d0].Digest.FreeSlots -= 2
 			s[d3].Digest.FreeSlots -= 2
 		}, pre: []int{p0, p3}, dec: []int{d0, d3}},
@@ -115,10 +114,10 @@
 			s[p0].Spec, s[p0].ColdUntil, s[p3].Digest.QueueMillis = &cold, now.Add(time.Second), 800
 			s[p1].Digest.QueueMillis, s[p4].Digest.QueueMillis = 800, 800
 		}, pre: []int{p0}, dec: []int{d0, d3}},
-		{name: "old digests", change: func(s []*State, _ *Request) { s[d0].At = now.Add(-time.Minute) }, pre: []int{p0, p3}, dec: []int{d3}},
+		{name: "an old digest", change: func(s []*State, _ *Request) { s[d0].At = now.Add(-time.Minute) }, pre: []int{p0, p3}, dec: []int{d3}},
 		{name: "a model that none serves", change: func(_ []*State, r *Request) { r.Model = "other" }, nothing: true},
 		{name: "nothing in the region", change: func(_ []*State, r *Request) { r.Region = 0 }, nothing: true},
-		{name: "all leave", change: func(s []*State, _ *Request) {
+		{name: "all are leaving", change: func(s []*State, _ *Request) {
 			for i := range s {
 				s[i].Leaving = true
 			}
@@ -139,7 +138,7 @@
 					}
 					continue
 				}
-				if !oneOf(c.Prefill, s, tc.pre) || !oneOf(c.Decode, s, tc.dec) {
+				if !isOneOf(c.Prefill, s, tc.pre) || !isOneOf(c.Decode, s, tc.dec) {
 					t.Fatalf("seed %d: chose %s and %s, want one of %v and of %v", seed, c.Prefill.Name, c.Decode.Name, tc.pre, tc.dec)
 				}
 			}
@@ -147,7 +146,7 @@
 	}
 }
 
-func oneOf(x *config.Endpoint, states []*State, list []int) bool {
+func isOneOf(x *config.Endpoint, states []*State, list []int) bool {
 	for _, i := range list {
 		if states[i].Spec == x {
 			return true
@@ -156,7 +155,7 @@
 	return false
 }
 
-// TestPickOne checks the baselines' spread over four idle engines.
+// TestPickOne checks that each baseline policy spreads requests over four idle engines.
 func TestPickOne(t *testing.T) {
 	v := testView(t, 6, 0)
 	for _, mode := range []config.PolicyMode{config.ModeRandom, config.ModeRoundRobin, config.ModeTwoChoices} {
@@ -174,8 +173,8 @@
 	}
 }
 
-// TestPickAllocates checks that a decision allocates nothing, however many
-// candidates there are.
+// TestPickAllocates checks that a decision allocates nothing, regardless of the number of
+// candidates.
 func TestPickAllocates(t *testing.T) {
 	v := testView(t, 100, 100)
 	f, _ := fresh(v)
--- a/route/ways_test.go
+++ b/route/ways_test.go
@@ -9,121 +9,121 @@
 	"github.com/embercove/embercove/config"
 )
 
-// The model of TestWaysToLook: hosts of one failure domain that send prompts to its prefill
-// engines, each by what it was told of them some time ago.
+// The model of TestWaysToLook: hosts of one failure domain send prompts to its prefill engines.
+// Each decides by digests that are some time old.
 const (
-	wayHosts   = 12
-	wayEngines = 600
-	wayTicks   = 400                   // of the model's time
-	wayTick    = 10 * time.Millisecond // one prompt comes to each host in each
-	wayTokens  = 5000                  // of a prompt
-	wayHeads   = 40                    // blocks that prompts begin with
-	wayTold    = 160                   // digests that a host is told of in each wayTellEvery ticks
-	wayTells   = 50                    // ticks
+	modelHosts       = 12
+	modelEngines     = 600
+	modelTicks       = 400                   // simulated
+	modelTick        = 10 * time.Millisecond // each host gets one prompt per tick
+	modelTokens      = 5000                  // of a prompt
+	modelHeads       = 40                    // number of different first blocks
+	modelReports     = 160                   // digests that a host receives every modelReportTicks
+	modelReportTicks = 50                    // between two batches of digests
 )
 
-// wayEngine is an engine as it is.
-type wayEngine struct {
-	free time.Duration // when it has read all that it was given
-	has  []HeadDigest
+// modelEngine is the true state of an engine.
+type modelEngine struct {
+	freeAt time.Duration // when it has finished all prompts that it was sent
+	cached []HeadDigest
 }
 
-// wayResult is what callers got.
-type wayResult struct {
-	mean  time.Duration // to the end of reading
-	worst time.Duration
-	kept  float64 // share of prompts that met an engine which had cached their beginning
+// modelResult is what callers measured.
+type modelResult struct {
+	mean     time.Duration // from arrival to the end of prefill
+	worst    time.Duration
+	hitShare float64 // share of prompts that went to an engine that had cached their head
 }
 
-// playWay plays the model with one way to look; half of a prompt is the block that it begins
-// with, and engines keep the last four.
-func playWay(v *config.View, looks Looks) (out wayResult) {
+// runModel runs the model with one sampling. The first block is half of a prompt, and engines cache
+// the last four.
+func runModel(v *config.View, sizes sampleSizes) (out modelResult) {
 	random := rand.New(rand.NewPCG(7, 11))
 	var fleets []*Fleet
-	for range wayHosts {
+	for range modelHosts {
 		f := NewFleet(v)
-		f.looks = looks
+		f.sampling = sizes
 		fleets = append(fleets, f)
 	}
-	engines := map[string]*wayEngine{}
+	engines := map[string]*modelEngine{}
 	var names []string
 	for _, e := range v.Endpoints.All() {
 		if e.Role != config.Prefill {
 			continue
 		}
-		engines[e.Name] = new(wayEngine)
+		engines[e.Name] = new(modelEngine)
 		names = append(names, e.Name)
-		fleets[len(names)%wayHosts].SetOwn(Number(e.Name), true)
+		fleets[len(names)%modelHosts].SetOwn(Number(e.Name), true)
 	}
-	at, sum, kept, n := time.Duration(0), time.Duration(0), 0, 0
-	tell := func(f *Fleet, name string) {
+	at, sum, hits, n := time.Duration(0), time.Duration(0), 0, 0
+	report := func(f *Fleet, name string) {
 		e := engines[name]
-		d := Digest{Number: Number(name), TrustPct: 100, Heads: append([]HeadDigest{}, e.has...), QueueMillis: uint32(max(0, e.free-at).Milliseconds())}
+		d := Digest{Number: Number(name), TrustPct: 100, Heads: append([]HeadDigest{}, e.cached...), QueueMillis: uint32(max(0, e.freeAt-at).Milliseconds())}
 		f.Learn(d, now.Add(at))
 	}
-	for tick := range wayTicks {
-		at = time.Duration(tick) * wayTick
+	for tick := range modelTicks {
+		at = time.Duration(tick) * modelTick
 		for h, f := range fleets {
 			for s := range f.Own() {
-				tell(f, s.Spec.Name)
+				report(f, s.Spec.Name)
 			}
-			if (tick+h)%wayTells == 0 {
-				for range wayTold {
-					tell(f, names[random.IntN(len(names))])
+			if (tick+h)%modelReportTicks == 0 {
+				for range modelReports {
+					report(f, names[random.IntN(len(names))])
 				}
 			}
-			head := uint32(1 + random.IntN(wayHeads))
-			r := &Request{Group: f.routes["all"], Model: "m", Tokens: wayTokens, MaxAnswer: 100, Region: v.RegionSet("r"), Now: now.Add(at),
+			head := uint32(1 + random.IntN(modelHeads))
+			r := &Request{Group: f.routes["all"], Model: "m", Tokens: modelTokens, MaxAnswer: 100, Region: v.RegionSet("r"), Now: now.Add(at),
 				Head: head, HasHead: true, Seed: random.Uint64()}
 			c := f.Pick(r)
 			e := engines[c.Prefill.Name]
-			tokens := wayTokens
-			for i := range e.has {
-				if e.has[i].Head == head {
+			tokens := modelTokens
+			for i := range e.cached {
+				if e.cached[i].Head == head {
 					tokens /= 2
-					kept++
+					hits++
 					break
 				}
 			}
-			e.has = append([]HeadDigest{{head, wayTokens / 2}}, e.has[:min(3, len(e.has))]...)
-			e.free = max(e.free, at) + time.Duration(float64(tokens)/c.Prefill.TokensPerSecond*float64(time.Second))
-			took := e.free - at
+			e.cached = append([]HeadDigest{{head, modelTokens / 2}}, e.cached[:min(3, len(e.cached))]...)
+			e.freeAt = max(e.freeAt, at) + time.Duration(float64(tokens)/c.Prefill.TokensPerSecond*float64(time.Second))
+			took := e.freeAt - at
 			sum, n, out.worst = sum+took, n+1, max(out.worst, took)
 		}
 	}
-	out.mean, out.kept = sum/time.Duration(n), float64(kept)/float64(n)
+	out.mean, out.hitShare = sum/time.Duration(n), float64(hits)/float64(n)
 	return out
 }
 
-// TestWaysToLook compares ways to look at the engines of a large pool, on one model with the
-// same prompts: what callers wait for must not become longer by what is not looked at.
+// TestWaysToLook compares samplings of a large pool on one model with the same prompts. With the
+// default sampling callers must not wait notably longer than if all engines are scanned.
 func TestWaysToLook(t *testing.T) {
-	v := oneDomain(t, wayEngines)
-	whole := playWay(v, Looks{All: 2 * wayEngines})
+	v := oneDomain(t, modelEngines)
+	whole := runModel(v, sampleSizes{scanAll: 2 * modelEngines})
 	t.Logf("all: %+v", whole)
-	ways := []struct {
-		name  string
-		looks Looks
-		keeps bool
+	variants := []struct {
+		name    string
+		sizes   sampleSizes
+		bounded bool
 	}{
-		{"standing", standingLooks, true},
-		{"few drawn", Looks{All: 128, Near: 4, Far: 2}, false},
-		{"many drawn", Looks{All: 128, Near: 200, Far: 50}, false},
+		{"standing", defaultSampling, true},
+		{"few drawn", sampleSizes{scanAll: 128, inDomain: 4, anywhere: 2}, false},
+		{"many drawn", sampleSizes{scanAll: 128, inDomain: 200, anywhere: 50}, false},
 	}
-	for _, w := range ways {
-		got := playWay(v, w.looks)
+	for _, w := range variants {
+		got := runModel(v, w.sizes)
 		t.Logf("%s: %+v", w.name, got)
-		const most = 1.03 // times what callers wait for where all are looked at
-		if w.keeps && float64(got.mean) > most*float64(whole.mean) {
-			t.Errorf("%s: callers wait for %s in the mean, %s where all are looked at", w.name, got.mean, whole.mean)
+		const maxFactor = 1.03 // of the mean wait with all engines scanned
+		if w.bounded && float64(got.mean) > maxFactor*float64(whole.mean) {
+			t.Errorf("%s: mean wait %s, want about the %s with all engines scanned", w.name, got.mean, whole.mean)
 		}
 	}
 }
 
-// oneDomain returns a view of prefill engines in one failure domain, with some decode engines.
+// oneDomain returns a view of prefill engines in one failure domain, with three decode engines.
 func oneDomain(t testing.TB, prefills int) *config.View { return poolView(t, prefills, 3) }
 
-// poolView returns a view of so many engines of each role in one failure domain.
+// poolView returns a view with these numbers of engines of each role in one failure domain.
 func poolView(t testing.TB, prefills, decodes int) *config.View {
 	t.Helper()
 	v, err := config.NewView(1, []byte(`{"failure_domains": [{"name": "a", "region": "r"}], "targets": {"ttft_ms": 1000, "tpot_ms": 30},
