--- a/roles/looks.go
+++ b/roles/looks.go
@@ -6,38 +6,36 @@
 	"github.com/embercove/embercove/config"
 )
 
-// Looks are the last looks at a pool that may be out of balance. The zero value has
-// none.
-type Looks struct{ last []look }
+// Looks holds recent samples of how far a pool is out of balance. The zero value has none.
+type Looks struct{ samples []sample }
 
-// look is how many runners of a pool should have changed their role.
-type look struct {
+// sample is how many runners of a pool should have changed to a role at a time.
+type sample struct {
 	n  int
 	to config.Role
 	at time.Time
 }
 
 const (
-	lastsFor  = 3 * time.Second         // a runner that was lost for a moment comes back in its old role
-	unseenFor = 1500 * time.Millisecond // without a look, after which the former ones say nothing: three times the time between looks
+	minDuration = 3 * time.Second         // of an imbalance: a runner that was lost briefly comes back in its old role
+	maxGap      = 1500 * time.Millisecond // three times the sampling interval; after a longer gap, earlier samples are dropped
 )
 
-// Lasting takes in a look, and returns how many runners have been out of balance in
-// one way for long enough: the fewest of that time. In a large pool their number
-// changes all the time, which says nothing against those that are out of balance all
-// the while.
+// Lasting records a sample and returns how many runners should change to the role: the minimum
+// over the last minDuration, 0 if the direction changed or the samples don't go back that far. In
+// a large pool the number varies all the time; the minimum is the part of the imbalance that lasts.
 func (l *Looks) Lasting(n int, to config.Role, now time.Time) int {
-	if k := len(l.last); k > 0 && now.Sub(l.last[k-1].at) > unseenFor {
-		l.last = nil
+	if k := len(l.samples); k > 0 && now.Sub(l.samples[k-1].at) > maxGap {
+		l.samples = nil
 	}
-	l.last = append(l.last, look{n: n, to: to, at: now})
-	for len(l.last) > 1 && now.Sub(l.last[1].at) >= lastsFor {
-		l.last = l.last[1:]
+	l.samples = append(l.samples, sample{n: n, to: to, at: now})
+	for len(l.samples) > 1 && now.Sub(l.samples[1].at) >= minDuration {
+		l.samples = l.samples[1:]
 	}
-	if now.Sub(l.last[0].at) < lastsFor {
+	if now.Sub(l.samples[0].at) < minDuration {
 		return 0
 	}
-	for _, past := range l.last {
+	for _, past := range l.samples {
 		if past.to != to {
 			return 0
 		}
--- a/roles/roles.go
+++ b/roles/roles.go
@@ -1,9 +1,8 @@
-// Package roles decides which engines of a pool should read prompts and which should
-// write answers.
+// Package roles decides which engines of a pool should run prefill and which decode.
 //
-// Runners that register themselves come with a role, and the shares of roles in a
-// pool may be far from what its requests need. Which ones should change is a pure
-// function of the roster, so that all hosts name the same ones.
+// Runners register themselves with a role, and the shares of roles in a pool may be far from what
+// its requests need. Which runners should change is a pure function of the roster, so that all
+// hosts choose the same ones.
 package roles
 
 import (
@@ -15,124 +14,124 @@
 )
 
 const (
-	leastEngines  = 4 // in a pool, below which roles stay
-	leastPrefills = 2
+	minEngines  = 4 // smaller pools keep their roles
+	minPrefills = 2
 )
 
-// How many runners read: their part of the work, and spare ones against prompts
-// that come together, which miss their target when they wait. The larger a pool
-// is, the smaller is the part that has to be spare. One that is needed in part
-// mostly decodes instead: answers take more of the pool.
+// How many engines of a pool should prefill: prefill's share of the work, plus spare engines for
+// bursts of prompts, which miss their target if they queue. The larger a pool, the smaller the
+// share that has to be spare. A fraction of an engine is mostly rounded down, in favor of decode:
+// answers take more of the pool.
 const (
-	readShare = 0.17
-	readSpare = 0.45 // times the square root of the runners
-	readGrain = 0.25 // what may lack of a further one
+	prefillShare    = 0.17
+	prefillSpare    = 0.45 // times the square root of the engines
+	prefillRounding = 0.25 // rounds up from a fraction of 0.75
 )
 
-// Prefills returns how many of a pool's engines should read.
-func Prefills(engines int) int {
+// PrefillCount returns how many of a pool's engines should prefill.
+func PrefillCount(engines int) int {
 	n := float64(engines)
-	return max(leastPrefills, int(readShare*n+readSpare*math.Sqrt(n)+readGrain))
+	return max(minPrefills, int(prefillShare*n+prefillSpare*math.Sqrt(n)+prefillRounding))
 }
 
-// Surplus returns the runners of a pool that should take another role. Those that are
-// changing count for the role that they will have, and are left alone. Those of failure
-// domains that are being emptied count for nothing: the others have to do without them,
-// and they keep their roles for when they are taken back.
+// Surplus returns the runners of a pool that should change to the role to. Runners that are already
+// changing count with their new role and aren't returned. Those in failure domains that are being
+// evacuated don't count, because the others have to do without them; they keep their roles for the
+// end of the evacuation.
 func Surplus(v *config.View, pool string, changing func(e *config.Endpoint) bool) (surplus []*config.Endpoint, to config.Role) {
-	t := count(v, pool, changing)
-	engines := t.reading + t.writing
-	need := Prefills(engines)
+	t := countRoles(v, pool, changing)
+	engines := t.prefill + t.decode
+	need := PrefillCount(engines)
 	from, n := config.Prefill, 0
 	switch {
-	case engines < leastEngines && t.starved() && t.reading > 1:
+	case engines < minEngines && t.starved() && t.prefill > 1:
 		n = 1
-	case engines < leastEngines && t.starved() && t.writing > 1:
+	case engines < minEngines && t.starved() && t.decode > 1:
 		from, n = config.Decode, 1
-	case engines < leastEngines:
-	case t.reading > need:
-		n = t.reading - need
-	case t.reading < need:
-		from, n = config.Decode, need-t.reading
+	case engines < minEngines:
+	case t.prefill > need:
+		n = t.prefill - need
+	case t.prefill < need:
+		from, n = config.Decode, need-t.prefill
 	}
 	if n == 0 {
 		return nil, config.Decode
 	}
-	return fullestDomainFirst(steady(v, pool, from, changing), n), other(from)
+	return fullestDomainFirst(changeable(v, pool, from, changing), n), otherRole(from)
 }
 
-// Starved reports whether a pool has no engine of one role left and some of that role are
-// in failure domains that are being emptied, so that it can answer nothing. That is no loss
-// which may pass in a moment, so the change of roles needn't be looked at for long before it
-// is ordered.
+// Starved reports whether a pool has no engine of one role left and some of that role are in
+// failure domains that are being evacuated, so that it can't serve any request. Unlike a brief loss
+// this won't pass by itself, so a change of roles needn't wait until the imbalance has lasted.
 func Starved(v *config.View, pool string, changing func(e *config.Endpoint) bool) bool {
-	t := count(v, pool, changing)
+	t := countRoles(v, pool, changing)
 	return t.starved()
 }
 
 // tally counts the engines of a pool by the role that they have or are changing to.
 type tally struct {
-	reading, writing               int
-	readersEmptied, writersEmptied bool // some are in failure domains that are being emptied
+	prefill, decode                   int
+	prefillEvacuated, decodeEvacuated bool // some are in failure domains that are being evacuated
 }
 
-// starved reports whether one role alone is lacking, and engines of it are emptied.
+// starved reports whether exactly one role is missing and engines of it are evacuated.
 func (t *tally) starved() bool {
-	if t.reading == 0 {
-		return t.writing > 0 && t.readersEmptied
+	if t.prefill == 0 {
+		return t.decode > 0 && t.prefillEvacuated
 	}
-	return t.writing == 0 && t.writersEmptied
+	return t.decode == 0 && t.decodeEvacuated
 }
 
-// counts reports whether an endpoint is an engine of a pool that is there for requests.
-func counts(e *config.Endpoint, pool string) bool {
+// isActive reports whether an endpoint is an engine of a pool that can serve requests: it isn't
+// leaving and its registration hasn't lapsed.
+func isActive(e *config.Endpoint, pool string) bool {
 	return e.Pool == pool && !e.Leaving && e.Lapsed.IsZero() && e.Role != config.Service
 }
 
-// count looks at all endpoints, and allocates nothing: it is asked twice a second.
-func count(v *config.View, pool string, changing func(e *config.Endpoint) bool) (t tally) {
+// countRoles scans all endpoints. It doesn't allocate, because it runs twice a second.
+func countRoles(v *config.View, pool string, changing func(e *config.Endpoint) bool) (t tally) {
 	for _, e := range v.Endpoints.All() {
-		if !counts(e, pool) {
+		if !isActive(e, pool) {
 			continue
 		}
 		role := e.Role
 		if v.Emptied(e) {
-			t.readersEmptied = t.readersEmptied || role == config.Prefill
-			t.writersEmptied = t.writersEmptied || role == config.Decode
+			t.prefillEvacuated = t.prefillEvacuated || role == config.Prefill
+			t.decodeEvacuated = t.decodeEvacuated || role == config.Decode
 			continue
 		}
 		if changing(e) {
-			role = other(role)
+			role = otherRole(role)
 		}
 		if role == config.Prefill {
-			t.reading++
+			t.prefill++
 		} else {
-			t.writing++
+			t.decode++
 		}
 	}
 	return t
 }
 
-// steady lists the engines of a role that may be ordered into the other.
-func steady(v *config.View, pool string, role config.Role, changing func(e *config.Endpoint) bool) (out []*config.Endpoint) {
+// changeable lists the engines of a role that may be ordered to change it.
+func changeable(v *config.View, pool string, role config.Role, changing func(e *config.Endpoint) bool) (out []*config.Endpoint) {
 	for _, e := range v.Endpoints.All() {
-		if counts(e, pool) && e.Role == role && !v.Emptied(e) && !changing(e) {
+		if isActive(e, pool) && e.Role == role && !v.Emptied(e) && !changing(e) {
 			out = append(out, e)
 		}
 	}
 	return out
 }
 
-// other returns the role that an engine of a role can be ordered into.
-func other(r config.Role) config.Role {
+// otherRole returns the role that an engine can be ordered to change to.
+func otherRole(r config.Role) config.Role {
 	if r == config.Prefill {
 		return config.Decode
 	}
 	return config.Prefill
 }
 
-// fullestDomainFirst returns n of the endpoints, of the failure domains that have most
-// of them first, and within a domain by name.
+// fullestDomainFirst returns n of the endpoints. It takes each from the failure domain that has the
+// most left, and within a domain by name.
 func fullestDomainFirst(list []*config.Endpoint, n int) []*config.Endpoint {
 	slices.SortFunc(list, byName)
 	byDomain := map[string][]*config.Endpoint{}
@@ -148,13 +147,13 @@
 	return out
 }
 
-// fullest returns the failure domain that has most endpoints left; of several the one
-// whose next is the first by name.
+// fullest returns the failure domain with the most endpoints left, and among equals the one whose
+// next endpoint comes first by name.
 func fullest(byDomain map[string][]*config.Endpoint) (domain string) {
-	var most []*config.Endpoint
+	var longest []*config.Endpoint
 	for name, left := range byDomain {
-		if len(left) > len(most) || len(left) == len(most) && len(left) > 0 && byName(left[0], most[0]) < 0 {
-			domain, most = name, left
+		if len(left) > len(longest) || len(left) == len(longest) && len(left) > 0 && byName(left[0], longest[0]) < 0 {
+			domain, longest = name, left
 		}
 	}
 	return domain
--- a/roles/roles_test.go
+++ b/roles/roles_test.go
@@ -11,8 +11,8 @@
 	"github.com/embercove/embercove/config"
 )
 
-// rosterOf returns a roster of runners: one letter for each, p for prefill, d
-// for decode, upper case for one that is leaving; domains d, e and f in turn.
+// rosterOf returns a roster with a runner per letter: p for prefill, d for decode, upper case for
+// one that is leaving. The failure domains are d, e and f in turn.
 func rosterOf(revision uint64, roles string) *config.RosterList {
 	r := &config.RosterList{Revision: config.Position(revision)}
 	for i, c := range roles {
@@ -31,34 +31,35 @@
 "pools": [{"name": "p", "memory_tokens": 90000, "slots": 64, "link_bytes_per_second": 1000000000, "role_switch_ms": 6000}],
 "routes": [{"name": "r", "host": "h", "path_prefix": "/", "pools": [{"pool": "p", "weight": 1}]}]}`
 
-// TestSurplus names the runners that should change their role.
+// TestSurplus checks which runners should change their role, also while failure domains are being
+// evacuated.
 func TestSurplus(t *testing.T) {
 	cases := []struct {
 		name, roles string
 		change      string
 		to          config.Role
 		changing    []string
-		emptied     []string // failure domains
+		evacuated   []string // failure domains
 		starved     bool
 	}{
 		{"balanced", "pdd" + "pdd" + "pdd", "[]", config.Decode, nil, nil, false},
-		{"one reads too many", "ppd" + "pdd" + "pdd", "[r00]", config.Decode, nil, nil, false},
+		{"one prefill engine too many", "ppd" + "pdd" + "pdd", "[r00]", config.Decode, nil, nil, false},
 		{"the most crowded domain gives one", "ppd" + "dpd" + "dpd", "[r01]", config.Decode, nil, nil, false},
-		{"too few read", "pdd" + "ddd" + "ddd", "[r01 r02]", config.Prefill, nil, nil, false},
-		{"one that leaves doesn't read", "Pdd" + "pdd" + "pdd" + "d", "[r01]", config.Prefill, nil, nil, false},
-		{"eight do with two that read", "pdd" + "pdd" + "dd", "[]", config.Decode, nil, nil, false},
-		{"too few read, and one is on its way", "pdd" + "ddd" + "ddd", "[r02]", config.Prefill, []string{"r01"}, nil, false},
-		{"too few read, and all are on their way", "pdd" + "ddd" + "ddd", "[]", config.Decode, []string{"r01", "r05"}, nil, false},
-		{"one reads too many, and it is on its way", "ppd" + "pdd" + "pdd", "[]", config.Decode, []string{"r03"}, nil, false},
+		{"too few prefill", "pdd" + "ddd" + "ddd", "[r01 r02]", config.Prefill, nil, nil, false},
+		{"a leaving prefill engine doesn't count", "Pdd" + "pdd" + "pdd" + "d", "[r01]", config.Prefill, nil, nil, false},
+		{"two of eight prefill", "pdd" + "pdd" + "dd", "[]", config.Decode, nil, nil, false},
+		{"too few prefill, and one is changing", "pdd" + "ddd" + "ddd", "[r02]", config.Prefill, []string{"r01"}, nil, false},
+		{"too few prefill, and all needed are changing", "pdd" + "ddd" + "ddd", "[]", config.Decode, []string{"r01", "r05"}, nil, false},
+		{"one prefill engine too many, and one is changing", "ppd" + "pdd" + "pdd", "[]", config.Decode, []string{"r03"}, nil, false},
 		{"too few runners for any change", "ppp", "[]", config.Decode, nil, nil, false},
-		{"all that read are emptied", "pdd" + "pdd" + "pdd", "[r01 r02]", config.Prefill, nil, []string{"d"}, true},
-		{"a domain is emptied that has its share of those that read", "ppd" + "ddd" + "ddd", "[r02]", config.Prefill, nil, []string{"d"}, false},
-		{"a domain is emptied in which nobody reads", "dpp" + "ddd" + "ddd", "[]", config.Decode, nil, []string{"d"}, false},
-		{"all that read are emptied, and one is on its way", "pdd" + "pdd" + "pdd", "[r02]", config.Prefill, []string{"r01"}, []string{"d"}, false},
-		{"the emptied domain had most of those that read", "pdd" + "ppd" + "pdd", "[r02]", config.Prefill, nil, []string{"d"}, false},
-		{"it is taken back, and others read meanwhile", "ppp" + "pdd" + "pdd", "[r00 r03]", config.Decode, nil, nil, false},
-		{"two are left that write", "pdd" + "pd", "[r01]", config.Prefill, nil, []string{"d", "f"}, true},
-		{"two are left that read", "dpp" + "dp", "[r01]", config.Decode, nil, []string{"d", "f"}, true},
+		{"all prefill engines are evacuated", "pdd" + "pdd" + "pdd", "[r01 r02]", config.Prefill, nil, []string{"d"}, true},
+		{"an evacuated domain had its share of prefill engines", "ppd" + "ddd" + "ddd", "[r02]", config.Prefill, nil, []string{"d"}, false},
+		{"an evacuated domain had no prefill engine", "dpp" + "ddd" + "ddd", "[]", config.Decode, nil, []string{"d"}, false},
+		{"all prefill engines are evacuated, and one is changing", "pdd" + "pdd" + "pdd", "[r02]", config.Prefill, []string{"r01"}, []string{"d"}, false},
+		{"an evacuated domain had most prefill engines", "pdd" + "ppd" + "pdd", "[r02]", config.Prefill, nil, []string{"d"}, false},
+		{"its evacuation ended, and others prefill meanwhile", "ppp" + "pdd" + "pdd", "[r00 r03]", config.Decode, nil, nil, false},
+		{"two decode engines are left", "pdd" + "pd", "[r01]", config.Prefill, nil, []string{"d", "f"}, true},
+		{"two prefill engines are left", "dpp" + "dp", "[r01]", config.Decode, nil, []string{"d", "f"}, true},
 		{"one is left", "pdd", "[]", config.Decode, nil, []string{"d", "f"}, true},
 		{"none is left", "pdd" + "pdd", "[]", config.Decode, nil, []string{"d", "e", "f"}, false},
 	}
@@ -69,7 +70,7 @@
 				t.Fatal(err)
 			}
 			roster := rosterOf(1, tc.roles)
-			for _, d := range tc.emptied {
+			for _, d := range tc.evacuated {
 				roster.Evacuated = append(roster.Evacuated, config.Evacuation{Domain: d, Revision: 1})
 			}
 			v = v.WithRoster(roster.Roster())
@@ -89,22 +90,22 @@
 	}
 }
 
-// TestStarved has engines of a pool emptied, and others lose their registration, which may
-// pass: a pool is starved only where it lacks those of a role that are emptied.
+// TestStarved evacuates engines of a pool and has others lose their registration, which may be
+// brief. A pool is starved only if the role it lacks is that of evacuated engines.
 func TestStarved(t *testing.T) {
 	cases := []struct {
-		name    string
-		roles   string
-		emptied string
-		lapsed  []int
-		want    bool
+		name      string
+		roles     string
+		evacuated string
+		lapsed    []int
+		want      bool
 	}{
-		{"those that read are emptied", "pdd" + "pdd", "d", nil, true},
-		{"those that write are emptied", "dpp" + "dpp", "d", nil, true},
-		{"they are emptied, and one that writes is lost", "pdd" + "pdd", "d", []int{1}, true},
-		{"some that write are emptied, and all that read are lost", "dpd" + "dpd", "d", []int{1, 4}, false},
-		{"some that read are emptied, and all that write are lost", "pdp" + "pdp", "d", []int{1, 4}, false},
-		{"all that read are lost", "pdd" + "pdd", "", []int{0, 3}, false},
+		{"prefill engines are evacuated", "pdd" + "pdd", "d", nil, true},
+		{"decode engines are evacuated", "dpp" + "dpp", "d", nil, true},
+		{"prefill engines are evacuated, and a decode engine is lost", "pdd" + "pdd", "d", []int{1}, true},
+		{"some decode engines are evacuated, and all prefill engines are lost", "dpd" + "dpd", "d", []int{1, 4}, false},
+		{"some prefill engines are evacuated, and all decode engines are lost", "pdp" + "pdp", "d", []int{1, 4}, false},
+		{"all prefill engines are lost", "pdd" + "pdd", "", []int{0, 3}, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -113,8 +114,8 @@
 				t.Fatal(err)
 			}
 			roster := rosterOf(1, tc.roles)
-			if tc.emptied != "" {
-				roster.Evacuated = []config.Evacuation{{Domain: tc.emptied, Revision: 1}}
+			if tc.evacuated != "" {
+				roster.Evacuated = []config.Evacuation{{Domain: tc.evacuated, Revision: 1}}
 			}
 			for _, i := range tc.lapsed {
 				roster.Endpoints[i].Lapsed = time.Now()
@@ -126,18 +127,18 @@
 	}
 }
 
-// TestSettles has failure domains emptied and taken back in any pool, and checks that the
-// roles are settled once what is named has changed, that both are there wherever two
-// engines are left, and that none is named that is being emptied.
+// TestSettles starts and ends evacuations of failure domains in random pools. Once the surplus has
+// changed its role, no further change may be due, both roles must exist if two engines are left,
+// and no evacuated engine may be in the surplus. Else orders would go back and forth.
 func TestSettles(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		letters := rapid.StringOfN(rapid.SampledFrom([]rune("pd")), 0, 40, -1).Draw(t, "roles")
+		initial := rapid.StringOfN(rapid.SampledFrom([]rune("pd")), 0, 40, -1).Draw(t, "roles")
 		base, err := config.NewView(1, []byte(balanceDocument))
 		if err != nil {
 			t.Fatal(err)
 		}
 		none := func(*config.Endpoint) bool { return false }
-		roster := rosterOf(1, letters)
+		roster := rosterOf(1, initial)
 		for range 4 {
 			roster.Evacuated = nil
 			for _, d := range rapid.SliceOfDistinct(rapid.SampledFrom([]string{"d", "e", "f"}), rapid.ID).Draw(t, "emptied") {
@@ -147,7 +148,7 @@
 			surplus, to := Surplus(v, "p", none)
 			for _, e := range surplus {
 				if v.Emptied(e) {
-					t.Fatalf("%s is named, whose domain is being emptied", e.Name)
+					t.Fatalf("%s is in the surplus, but its domain is being evacuated", e.Name)
 				}
 				i := slices.IndexFunc(roster.Endpoints, func(o config.Endpoint) bool { return o.Name == e.Name })
 				roster.Endpoints[i].Role = to
@@ -163,40 +164,39 @@
 				}
 			}
 			if left > 1 && Starved(v, "p", none) {
-				t.Fatalf("of %d engines that are left all have one role", left)
+				t.Fatalf("all %d engines that are left have the same role", left)
 			}
 		}
 	})
 }
 
-// TestLasting has a pool looked at every half second, with as many runners out of
-// balance as the digits say, minus for the other way, and states how many are so for
-// long enough at the end.
+// TestLasting samples a pool every half second. The digits are the number of runners out of balance,
+// negative in the other direction. It checks how many count as lasting after the last sample.
 func TestLasting(t *testing.T) {
 	cases := []struct {
-		name  string
-		looks []int
-		want  int
+		name    string
+		samples []int
+		want    int
 	}{
 		{"just now", []int{2}, 0},
 		{"for a while", []int{2, 2, 2, 2, 2, 2, 2}, 2},
 		{"not for long enough", []int{2, 2, 2, 2, 2, 2}, 0},
 		{"balanced meanwhile", []int{2, 2, 2, 0, 2, 2, 2}, 0},
 		{"more and more", []int{1, 2, 3, 4, 5, 6, 7}, 1},
-		{"now more and now fewer", []int{3, 5, 2, 4, 3, 6, 5}, 2},
-		{"the other way before", []int{-1, 2, 2, 2, 2, 2, 2}, 0},
-		{"long ago the other way", []int{-1, 2, 2, 2, 2, 2, 2, 3}, 2},
+		{"a varying number", []int{3, 5, 2, 4, 3, 6, 5}, 2},
+		{"the other direction before", []int{-1, 2, 2, 2, 2, 2, 2}, 0},
+		{"the other direction long ago", []int{-1, 2, 2, 2, 2, 2, 2, 3}, 2},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-			looks, got := new(Looks), 0
-			for i, n := range tc.looks {
+			history, got := new(Looks), 0
+			for i, n := range tc.samples {
 				to := config.Prefill
 				if n < 0 {
 					n, to = -n, config.Decode
 				}
-				got = looks.Lasting(n, to, start.Add(time.Duration(i)*500*time.Millisecond))
+				got = history.Lasting(n, to, start.Add(time.Duration(i)*500*time.Millisecond))
 			}
 			if got != tc.want {
 				t.Errorf("%d, want %d", got, tc.want)
@@ -205,18 +205,17 @@
 	}
 }
 
-// TestPrefills states how many engines of a pool read, for pools of the sizes
-// that the users run and plan.
+// TestPrefills checks the number of prefill engines for the pool sizes that users run and plan.
 func TestPrefills(t *testing.T) {
 	for engines, want := range map[int]int{4: 2, 7: 2, 8: 2, 9: 3, 10: 3, 12: 3, 36: 9, 44: 10, 100: 21, 770: 143} {
-		if got := Prefills(engines); got != want {
-			t.Errorf("%d of %d engines read, want %d", got, engines, want)
+		if got := PrefillCount(engines); got != want {
+			t.Errorf("%d of %d engines prefill, want %d", got, engines, want)
 		}
 	}
 }
 
-// TestFullestDomainFirst compares the choice with one that looks through all endpoints
-// for each.
+// TestFullestDomainFirst compares the choice with a naive one that scans all endpoints for each
+// pick.
 func TestFullestDomainFirst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var list, plain []*config.Endpoint
