--- a/forecast/answers.go
+++ b/forecast/answers.go
@@ -2,50 +2,48 @@
 
 import "math/bits"
 
-// answerBins is the grain in which answers are counted, as shares of the
-// tokens asked for.
+// answerBins is the number of histogram bins, by answer length as a share of the requested tokens.
 const answerBins = 20
 
-// fadeAnswers is how much of the old counts each new answer leaves.
-const fadeAnswers = 0.995
+// answerDecay is the factor on the old counts for each new answer.
+const answerDecay = 0.995
 
-// priorAnswers is how many answers the belief weighs that is held before any
-// was seen: that every length is as likely as any other.
-const priorAnswers = 4.0
+// priorAnswerWeight is the weight, in answers, of the uniform prior over all lengths.
+const priorAnswerWeight = 4.0
 
-// Answers learns how much of what callers ask for the model writes,
-// apart for each order of magnitude asked, because a yes or no and a summary
-// have little in common.
+// Answers learns the length of answers as a share of the tokens that callers request. It keeps a
+// histogram per power of two of requested tokens, because short and long answers differ: a yes or
+// no has little in common with a summary.
 type Answers struct {
-	seen [33][answerBins]float64
+	counts [33][answerBins]float64
 }
 
-// Learn takes in an answer that is whole, and how many tokens were asked for.
+// Learn records the length of a complete answer and how many tokens were requested.
 func (f *Answers) Learn(answer, asked int) {
 	if asked <= 0 || answer <= 0 {
 		return
 	}
-	bins := &f.seen[bits.Len32(uint32(asked))]
+	bins := &f.counts[bits.Len32(uint32(asked))]
 	for i := range bins {
-		bins[i] *= fadeAnswers
+		bins[i] *= answerDecay
 	}
 	bins[min(answerBins-1, (answer-1)*answerBins/asked)]++
 }
 
-// Survive returns the chance that an answer has more than written tokens.
-func (f *Answers) Survive(written float64, asked int) float64 {
-	if asked <= 0 || written >= float64(asked) {
+// Survive returns the probability that an answer is longer than length tokens.
+func (f *Answers) Survive(length float64, asked int) float64 {
+	if asked <= 0 || length >= float64(asked) {
 		return 0
 	}
-	if written <= 0 {
+	if length <= 0 {
 		return 1
 	}
-	bins := &f.seen[bits.Len32(uint32(asked))]
-	pos := written / float64(asked) * answerBins
+	bins := &f.counts[bits.Len32(uint32(asked))]
+	pos := length / float64(asked) * answerBins
 	whole := int(pos)
 	all, above := 0.0, 0.0
 	for i, n := range bins {
-		n += priorAnswers / answerBins
+		n += priorAnswerWeight / answerBins
 		all += n
 		switch {
 		case i > whole:
@@ -57,15 +55,15 @@
 	return above / all
 }
 
-// Expect returns the tokens that an answer will have on average.
+// Expect returns the mean length of an answer, in tokens.
 func (f *Answers) Expect(asked int) int {
 	if asked <= 0 {
 		return 1
 	}
-	bins := &f.seen[bits.Len32(uint32(asked))]
+	bins := &f.counts[bits.Len32(uint32(asked))]
 	all, sum := 0.0, 0.0
 	for i, n := range bins {
-		n += priorAnswers / answerBins
+		n += priorAnswerWeight / answerBins
 		all += n
 		sum += n * (float64(i) + 0.5) / answerBins
 	}
--- a/forecast/answers_test.go
+++ b/forecast/answers_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// TestAnswers checks what is learned of answers' lengths.
+// TestAnswers checks forecasts of answer lengths before and after learning, and that long answers
+// don't affect the forecast of short ones.
 func TestAnswers(t *testing.T) {
 	var f Answers
 	if p := f.Survive(50, 100); p < 0.45 || p > 0.55 {
@@ -21,6 +22,6 @@
 		t.Errorf("expects %d of 100, want about 30", n)
 	}
 	if p := f.Survive(2, 4); p < 0.3 {
-		t.Errorf("short answers learned from long ones: %.2f", p)
+		t.Errorf("short answers were learned from long ones: %.2f", p)
 	}
 }
--- a/forecast/forecast.go
+++ b/forecast/forecast.go
@@ -1,7 +1,5 @@
-// Package forecast learns from what engines did how long they will take and how
-// long answers will be: how fast an engine reads, how many tokens an answer has by
-// what was asked for or guessed, and what the usual request looks like.
+// Package forecast learns from observations of engines: how long a prefill takes, how many tokens an
+// answer has by what its caller requested or estimated, and what a typical request looks like.
 //
-// Its types are pure: they take no locks, read no clock and ask nobody. Whoever
-// keeps one guards it.
+// Its types do no I/O, read no clock and take no locks: callers synchronize access.
 package forecast
--- a/forecast/guesses.go
+++ b/forecast/guesses.go
@@ -2,88 +2,87 @@
 
 import "math"
 
-// Guesses forecasts answers by what callers guess. A guess is right in
-// the median and often far off, and guesses are spread more widely than answers
-// are. So the logarithm of an answer is forecast from that of its guess by a
-// line, whose slope is learned and mostly below 1, with a normal error.
+// Guesses forecasts the length of answers from callers' estimates. Estimates are right in the median
+// but often far off, and they vary more than answers do. So the logarithm of a length is forecast by
+// linear regression on the logarithm of its estimate, with a learned slope, mostly below 1, and a
+// normally distributed error.
 type Guesses struct {
-	guesses Moment // logarithms of guesses, of all that asked
-	offset  Moment // of answers to their guesses, in logarithms
-	spread  Moment // squared error of the line
-	cross   Moment // of guesses to answers, for the slope
-	square  Moment // of guesses
+	estimates    Moment // logarithms of the estimates of all requests
+	offset       Moment // of answers from their estimates, in logarithms
+	squaredError Moment // of the forecast logarithms
+	covariance   Moment // of estimates and answers
+	variance     Moment // of estimates
 }
 
-// Beliefs before anything was seen, and the observations that they weigh.
-// Answers that were seen to end at first are the short ones, so the beliefs
-// weigh some.
+// The prior, and its weight in observations. The weight is high because the first answers that
+// complete are the short ones.
 const (
-	priorWeight = 60.0
-	priorSlope  = 0.7
-	priorError  = 0.45 // standard deviation
-	priorSquare = 0.5  // variance of guesses
-	leastError  = 0.1
+	priorWeight   = 60.0
+	priorSlope    = 0.7
+	priorError    = 0.45 // standard deviation
+	priorVariance = 0.5  // variance of estimates
+	minError      = 0.1
 )
 
-// NewGuesses returns the beliefs that are held before anything was seen.
+// NewGuesses returns a forecast with the prior only.
 func NewGuesses() Guesses {
 	return Guesses{
-		offset: Moment{Weight: priorWeight},
-		spread: Moment{Mean: priorError * priorError, Weight: priorWeight},
-		cross:  Moment{Mean: priorSlope * priorSquare, Weight: priorWeight},
-		square: Moment{Mean: priorSquare, Weight: priorWeight},
+		offset:       Moment{Weight: priorWeight},
+		squaredError: Moment{Mean: priorError * priorError, Weight: priorWeight},
+		covariance:   Moment{Mean: priorSlope * priorVariance, Weight: priorWeight},
+		variance:     Moment{Mean: priorVariance, Weight: priorWeight},
 	}
 }
 
-// See takes in the guess of a request that asks for room.
-func (f *Guesses) See(guess int) {
-	if guess > 0 {
-		f.guesses.Learn(math.Log(float64(guess)))
+// See records the estimate of a request that asks for capacity.
+func (f *Guesses) See(estimate int) {
+	if estimate > 0 {
+		f.estimates.Learn(math.Log(float64(estimate)))
 	}
 }
 
-// slope returns by how much answers follow their guesses.
+// slope returns how strongly lengths follow their estimates, from 0 to 1.
 func (f *Guesses) slope() float64 {
-	return min(1, max(0, f.cross.Mean/f.square.Mean))
+	return min(1, max(0, f.covariance.Mean/f.variance.Mean))
 }
 
-// middle returns the median of the logarithm of an answer.
-func (f *Guesses) middle(guess int) float64 {
-	g := math.Log(float64(guess))
-	if f.guesses.Weight == 0 {
+// medianLog returns the median of the logarithm of an answer's length.
+func (f *Guesses) medianLog(estimate int) float64 {
+	g := math.Log(float64(estimate))
+	if f.estimates.Weight == 0 {
 		return g
 	}
-	return f.guesses.Mean + f.offset.Mean + f.slope()*(g-f.guesses.Mean)
+	return f.estimates.Mean + f.offset.Mean + f.slope()*(g-f.estimates.Mean)
 }
 
-// Learn takes in an answer that is whole.
-func (f *Guesses) Learn(answer, guess int) {
-	if answer <= 0 || guess <= 0 || f.guesses.Weight == 0 {
+// Learn records the length of a complete answer and its estimate.
+func (f *Guesses) Learn(answer, estimate int) {
+	if answer <= 0 || estimate <= 0 || f.estimates.Weight == 0 {
 		return
 	}
-	a, g := math.Log(float64(answer)), math.Log(float64(guess))
-	miss := a - f.middle(guess)
-	f.spread.Learn(miss * miss)
+	a, g := math.Log(float64(answer)), math.Log(float64(estimate))
+	miss := a - f.medianLog(estimate)
+	f.squaredError.Learn(miss * miss)
 	f.offset.Learn(f.offset.Mean + miss)
-	f.cross.Learn((a - f.guesses.Mean - f.offset.Mean) * (g - f.guesses.Mean))
-	f.square.Learn((g - f.guesses.Mean) * (g - f.guesses.Mean))
+	f.covariance.Learn((a - f.estimates.Mean - f.offset.Mean) * (g - f.estimates.Mean))
+	f.variance.Learn((g - f.estimates.Mean) * (g - f.estimates.Mean))
 }
 
-// deviation returns the standard deviation of the logarithm of an answer.
+// deviation returns the standard deviation of the logarithm of an answer's length.
 func (f *Guesses) deviation() float64 {
-	return max(leastError, math.Sqrt(f.spread.Mean))
+	return max(minError, math.Sqrt(f.squaredError.Mean))
 }
 
-// Survive returns the chance that an answer is longer than so many tokens.
-func (f *Guesses) Survive(written float64, guess int) float64 {
-	if written < 1 {
+// Survive returns the probability that an answer is longer than length tokens.
+func (f *Guesses) Survive(length float64, estimate int) float64 {
+	if length < 1 {
 		return 1
 	}
-	return 0.5 * math.Erfc((math.Log(written)-f.middle(guess))/f.deviation()/math.Sqrt2)
+	return 0.5 * math.Erfc((math.Log(length)-f.medianLog(estimate))/f.deviation()/math.Sqrt2)
 }
 
-// Expect returns the tokens that an answer will have on average.
-func (f *Guesses) Expect(guess int) int {
+// Expect returns the mean length of an answer, in tokens.
+func (f *Guesses) Expect(estimate int) int {
 	s := f.deviation()
-	return max(1, int(math.Exp(f.middle(guess)+s*s/2)))
+	return max(1, int(math.Exp(f.medianLog(estimate)+s*s/2)))
 }
--- a/forecast/moment.go
+++ b/forecast/moment.go
@@ -1,17 +1,17 @@
 package forecast
 
-// Moment is a mean that is learned. Its weight is the number of observations that
-// it stands on, of which a belief held before counts as some.
+// Moment is a running mean. Weight is the number of observations behind it, including those that a
+// prior counts for.
 type Moment struct{ Mean, Weight float64 }
 
-// memory is how many observations a Moment remembers at the most.
-const memory = 400.0
+// maxWeight bounds the weight of a Moment: older observations decay exponentially.
+const maxWeight = 400.0
 
-// Learn takes in x.
-func (m *Moment) Learn(x float64) { m.LearnOf(x, memory) }
+// Learn adds the observation x.
+func (m *Moment) Learn(x float64) { m.LearnOf(x, maxWeight) }
 
-// LearnOf takes in x, as one of the last so many observations.
-func (m *Moment) LearnOf(x, last float64) {
-	m.Weight = min(m.Weight+1, last)
+// LearnOf adds the observation x to a mean over about the last window observations.
+func (m *Moment) LearnOf(x, window float64) {
+	m.Weight = min(m.Weight+1, window)
 	m.Mean += (x - m.Mean) / m.Weight
 }
--- a/forecast/reading.go
+++ b/forecast/reading.go
@@ -2,28 +2,27 @@
 
 import "time"
 
-// Reading learns how long an engine takes to read prompts. An engine reads
-// one prompt after the other, and each call takes a fixed time besides, in which
-// the engine already reads the next. So the time of a call to an idle engine is
-// a line over its tokens, and the time from the end of one call to that of the
-// next, at an engine that is never idle, is in proportion to its tokens. Both
-// are fitted together by least squares, in which older calls count less.
+// Reading learns how long an engine's prefills take. An engine processes one prompt after the other.
+// Each call also takes a fixed time, during which the engine already processes the next prompt. So
+// the time of a call to an idle engine is linear in its tokens, and the time between the ends of
+// consecutive calls to a busy engine is proportional to its tokens. Both are fitted together by
+// least squares, in which older calls count less.
 type Reading struct {
-	configured float64 // seconds a thousand tokens
-	believed   fit     // before any call was seen
+	configured float64 // seconds per thousand tokens
+	prior      fit     // before any observation
 
-	alone sums // calls to an idle engine: the fixed time and that of the tokens
-	chain sums // stretches without the fixed time
+	idle sums // calls to an idle engine: the fixed time plus that of the tokens
+	busy sums // intervals of a busy engine, without the fixed time
 }
 
-// fit is the line: seconds of a call, and seconds for each thousand tokens.
+// fit is a line: fixed seconds per call, and seconds per thousand tokens.
 type fit struct{ lag, slope float64 }
 
-// sums of observations: how many, thousands of tokens, seconds, squares of
-// tokens, and tokens times seconds.
+// sums holds the sums of a least-squares fit: number of observations, thousands of tokens, seconds,
+// squared tokens, and tokens times seconds.
 type sums struct{ n, x, y, xx, xy float64 }
 
-// fade has what was seen count less.
+// fade reduces the weight of all observations.
 func (s *sums) fade(by float64) {
 	s.n, s.x, s.y, s.xx, s.xy = s.n*by, s.x*by, s.y*by, s.xx*by, s.xy*by
 }
@@ -36,84 +35,82 @@
 	s.xy += tokens * seconds
 }
 
-// Weights and bounds of what is learned of reading.
+// Weights and bounds of the fit.
 const (
-	paceMemory = 40.0             // calls that are remembered: some seconds of an engine under load
-	aloneFade  = 4.0              // times as long calls to an idle engine count while it never is
-	lagPrior   = 1.0              // calls that the belief of the fixed time weighs
-	slopePrior = 4.0              // calls of a thousand tokens that the belief of the slope weighs
-	paceOff    = 8.0              // times by which an engine may be off its configured rate, either way
-	thousand   = 1000.0           // tokens
-	leastRead  = time.Millisecond // of any prompt
+	rememberedCalls  = 40.0             // some seconds of an engine under load
+	idleFactor       = 4.0              // calls to an idle engine are remembered this many times longer while it is busy
+	lagPriorWeight   = 1.0              // weight of the prior of the fixed time, in calls
+	slopePriorWeight = 4.0              // weight of the prior of the slope, in calls of a thousand tokens
+	maxDeviation     = 8.0              // largest factor between the learned and the configured rate, either way
+	thousand         = 1000.0           // tokens
+	minPrefillTime   = time.Millisecond // for any prompt
 )
 
-// NewReading returns the pace of an engine of which nothing was seen yet.
+// NewReading returns the fit of an engine without observations.
 func NewReading(tokensPerSecond float64) Reading {
 	slope := thousand / tokensPerSecond
-	return Reading{configured: slope, believed: fit{slope: slope}}
+	return Reading{configured: slope, prior: fit{slope: slope}}
 }
 
-// Inherit begins with what another host told of the engine: the factor on its
-// configured time of a token, and the fixed time of a call.
+// Inherit sets the prior from another host's digest: the factor on the engine's configured time per
+// token, and the fixed time of a call.
 func (p *Reading) Inherit(slow float64, lag time.Duration) {
-	p.believed = fit{lag: lag.Seconds(), slope: p.configured * slow}
+	p.prior = fit{lag: lag.Seconds(), slope: p.configured * slow}
 }
 
-// line returns the fit as things are.
+// line returns the current fit.
 func (p *Reading) line() fit {
-	n, x, y := p.alone.n+lagPrior, p.alone.x, p.alone.y+lagPrior*p.believed.lag
-	xx := p.alone.xx + p.chain.xx + slopePrior
-	xy := p.alone.xy + p.chain.xy + slopePrior*p.believed.slope
+	n, x, y := p.idle.n+lagPriorWeight, p.idle.x, p.idle.y+lagPriorWeight*p.prior.lag
+	xx := p.idle.xx + p.busy.xx + slopePriorWeight
+	xy := p.idle.xy + p.busy.xy + slopePriorWeight*p.prior.slope
 	f := fit{slope: (n*xy - x*y) / (n*xx - x*x)}
-	f.slope = min(p.configured*paceOff, max(p.configured/paceOff, f.slope))
+	f.slope = min(p.configured*maxDeviation, max(p.configured/maxDeviation, f.slope))
 	f.lag = max(0, (y-f.slope*x)/n)
 	return f
 }
 
-// Stretch is work of an engine without a pause, as far as its owner knows.
+// Stretch is an interval of uninterrupted work of an engine, as far as its owner knows.
 type Stretch struct {
-	From   time.Time // a call to the engine when it was idle, or the end of another call
-	Told   bool      // the end of another call
-	Tokens int       // read since
+	From   time.Time // the start of a call to the idle engine, or the end of another call
+	Told   bool      // From is the end of another call
+	Tokens int       // prefilled since From
 }
 
-// Learn takes in a call that ended. Its tokens took at most as long as the call,
-// and those of its Stretch at most as long as the Stretch. One of the bounds is
-// tight: the first if the engine was idle when the call came, the second if it
-// was not. So the one counts that allows the faster pace.
+// Learn records a call that ended. Its tokens took at most as long as the call, and those of its
+// interval at most as long as the interval. One of the two bounds is tight: the first if the engine
+// was idle when the call came, else the second. So the bound with the higher rate counts.
 func (p *Reading) Learn(tokens int, took time.Duration, s Stretch, end time.Time) {
 	f := p.line()
-	ownTokens, own := float64(max(1, tokens))/thousand, took.Seconds()
-	allTokens, all := float64(max(1, s.Tokens))/thousand, end.Sub(s.From).Seconds()
-	allWork := all
+	ownTokens, ownTime := float64(max(1, tokens))/thousand, took.Seconds()
+	allTokens, allTime := float64(max(1, s.Tokens))/thousand, end.Sub(s.From).Seconds()
+	allWork := allTime
 	if !s.Told {
 		allWork -= f.lag
 	}
-	if allWork/allTokens >= (own-f.lag)/ownTokens {
-		p.chain.fade(1 - 1/paceMemory)
-		p.alone.fade(1 - 1/paceMemory)
-		p.alone.add(ownTokens, own)
+	if allWork/allTokens >= (ownTime-f.lag)/ownTokens {
+		p.busy.fade(1 - 1/rememberedCalls)
+		p.idle.fade(1 - 1/rememberedCalls)
+		p.idle.add(ownTokens, ownTime)
 		return
 	}
-	p.chain.fade(1 - 1/paceMemory)
-	p.alone.fade(1 - 1/(aloneFade*paceMemory))
+	p.busy.fade(1 - 1/rememberedCalls)
+	p.idle.fade(1 - 1/(idleFactor*rememberedCalls))
 	if s.Told {
-		p.chain.add(allTokens, all)
+		p.busy.add(allTokens, allTime)
 	} else {
-		p.alone.add(allTokens, all)
+		p.idle.add(allTokens, allTime)
 	}
 }
 
 // Lag returns the fixed time of a call.
 func (p *Reading) Lag() time.Duration { return seconds(p.line().lag) }
 
-// Work returns how long the engine is kept from the next prompt by so many
-// tokens.
+// Work returns how long this many tokens keep the engine from the next prompt.
 func (p *Reading) Work(tokens int) time.Duration {
-	return max(leastRead, seconds(float64(tokens)/thousand*p.line().slope))
+	return max(minPrefillTime, seconds(float64(tokens)/thousand*p.line().slope))
 }
 
-// Slow returns the factor on the configured time of a token.
+// Slow returns the learned factor on the configured time per token.
 func (p *Reading) Slow() float64 { return p.line().slope / p.configured }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
