--- a/copies/copies.go
+++ b/copies/copies.go
@@ -1,11 +1,10 @@
-// Package copies decides which answers get a copy of their memory at another
-// engine, at which one, and when an engine that writes is asked whether it lives.
+// Package copies decides which running requests get a replica of their KV cache at another engine,
+// at which one, and when a silent decode engine is probed.
 //
-// It answers the load of answers that may not be read again: such an answer ends
-// with the engine that writes it, unless another has a copy to go on from. Its
-// functions are pure: they see a snapshot of states and a request, do no I/O, take
-// no lock and read no clock. Whether an engine has room for a copy is its owner's
-// decision, and in the end its own.
+// It serves requests that aren't repeatable: without a replica to continue from, such a request is
+// lost if its decode engine crashes. The functions work on a snapshot of endpoint states and a
+// request: they do no I/O, take no lock and read no clock. Whether an engine has capacity for a
+// replica is decided by its owner, and finally by the engine itself.
 package copies
 
 import (
@@ -15,139 +14,138 @@
 	"github.com/embercove/embercove/route"
 )
 
-// Policy is a way to choose the answers that get a copy.
+// Policy chooses the requests that get a replica.
 type Policy struct {
-	// LeastChance is the chance of losing its engine from which an answer gets a
-	// copy; 0: all that may not be read again, above 1: none.
-	LeastChance float64
-	// Again says that answers which may be read again get one too.
-	Again bool
-	// PoolSpare is the share of the memory of a region's engines that has to be free
-	// for a copy to be begun. A copy that is begun stays as long as its answer, some
-	// seconds, and can't be called off: what a burst needs then has to be free now.
-	PoolSpare float64
+	// MinRisk is the risk of losing its engine from which a request gets a replica; 0: all that
+	// aren't repeatable, above 1: none.
+	MinRisk float64
+	// Repeatable says that repeatable requests get one too.
+	Repeatable bool
+	// MinPoolFree is the share of the memory of a region's engines that must be free to start a
+	// replica. A replica stays as long as its request runs, some seconds, and can't be canceled, so
+	// memory for a burst in that time must be free at the start.
+	MinPoolFree float64
 }
 
-// Standing is the policy in force.
-var Standing = Policy{LeastChance: 0.1, PoolSpare: 0.6}
+// Standing is the default policy.
+var Standing = Policy{MinRisk: 0.1, MinPoolFree: 0.6}
 
-// Run is an answer that is about to be written.
+// Run is a request whose decode is about to start.
 type Run struct {
-	Again  bool         // it may be read again
+	Again  bool         // the request is repeatable
 	Tokens int          // of the prompt
-	Answer int          // tokens that it is expected to come to
-	Engine *route.State // the engine that will write it
+	Answer int          // expected tokens
+	Engine *route.State // the decode engine
 }
 
-// Wants reports whether an answer gets a copy, by the chance that it loses its engine.
-func (p Policy) Wants(r Run, chance float64) bool {
-	return (p.Again || !r.Again) && chance >= p.LeastChance
+// Wants reports whether a request gets a replica, by the risk that it loses its engine.
+func (p Policy) Wants(r Run, risk float64) bool {
+	return (p.Repeatable || !r.Again) && risk >= p.MinRisk
 }
 
-// End is how a call to the engine that writes ended, as far as it decides whether the
-// answer goes on from its copy.
+// End describes how a call to the decode engine ended, as far as it decides whether the request
+// continues from its replica.
 type End struct {
-	Copied     bool // another engine was to keep a copy
+	Copied     bool // another engine was chosen to keep a replica
 	CallerGone bool
-	MayHaveRun bool // else the request is placed anew, and nothing is lost
-	Works      bool // the engine may still work on it: it neither ended it nor is out of reach
-	// Grown is how long the answer has been written. Before a first part can have
-	// arrived there is nothing to go on from, and an engine that loses what it is sent
-	// before it looks for the copy runs the request a second time.
+	MayHaveRun bool // else the request can be routed again, and nothing is lost
+	Works      bool // the engine may still run it: it neither ended it nor is unreachable
+	// Grown is how long decode has run. Before a first part of the replica can have arrived there is
+	// nothing to continue from, and an engine that loses the request before it looks for the replica
+	// counts as having run it a second time.
 	Grown time.Duration
 }
 
-// FirstPart is how long an answer is written until a first part of its memory has come
-// to where its copy is kept: parts are sent some times a second.
-const FirstPart = 250 * time.Millisecond
+// firstPartDelay is how long decode runs until the first part of the KV cache has reached the engine
+// that keeps the replica. Parts are sent a few times per second.
+const firstPartDelay = 250 * time.Millisecond
 
-// GoesOn reports whether the answer may go on from its copy. While the first engine may
-// work on it, it may not: the request would run twice at once.
+// GoesOn reports whether the request may continue from its replica. It may not while the first engine
+// may still run it, because it would run twice at the same time.
 func (e End) GoesOn() bool {
-	return e.Copied && !e.CallerGone && e.MayHaveRun && !e.Works && e.Grown >= FirstPart
+	return e.Copied && !e.CallerGone && e.MayHaveRun && !e.Works && e.Grown >= firstPartDelay
 }
 
-// Affords reports whether the engines of the region of the one that writes have so much
-// memory free that a copy may be begun.
+// Affords reports whether the engines in the decode engine's region have enough free memory to start
+// a replica.
 func (p Policy) Affords(list []*route.State, engine *route.State) bool {
-	free, all := 0, 0
+	free, total := 0, 0
 	for _, s := range list {
 		if s.Region == engine.Region && !s.At.IsZero() && s.Digest.Flags&route.FlagDown == 0 {
 			free += max(0, int(s.Digest.FreeTokens))
-			all += s.Spec.MemoryTokens
+			total += s.Spec.MemoryTokens
 		}
 	}
-	return float64(free) >= p.PoolSpare*float64(all)
+	return float64(free) >= p.MinPoolFree*float64(total)
 }
 
-// Chance returns the chance that an answer loses its engine, between 0 and 1: the
-// share of calls that a pool's endpoints failed lately, or that of the engine itself
-// where it is larger. Endpoints that are out of reach of their owners count in full: an
-// engine that went down took all its answers along, and others often follow it.
+// Chance returns the risk that a request loses its engine, between 0 and 1: the larger of the
+// engine's recent failure rate and the mean over the pool's endpoints. Endpoints that their owners
+// can't reach count as 1: an engine that goes down loses all its requests, and others often follow.
 func Chance(list []*route.State, engine *route.State, now time.Time) float64 {
 	if len(list) == 0 {
 		return 0
 	}
 	sum := 0.0
 	for _, s := range list {
-		sum += failing(s, now)
+		sum += failureRate(s, now)
 	}
-	return max(sum/float64(len(list)), failing(engine, now))
+	return max(sum/float64(len(list)), failureRate(engine, now))
 }
 
-func failing(s *route.State, now time.Time) float64 {
+func failureRate(s *route.State, now time.Time) float64 {
 	if s.Digest.Flags&route.FlagDown != 0 || now.Before(s.CutOff) {
 		return 1
 	}
 	return max(float64(s.Digest.FailPct)/100, s.Seen.Failing(now))
 }
 
-// SpareShare is the part of an engine's memory that stays free beside a copy, so that
-// copies give way to requests before they meet a full engine: two requests of a usual
-// size of the engines that hold nine.
-const SpareShare = 0.2
+// reservedShare is the share of an engine's memory that stays free beside a replica, so that replicas
+// yield to requests before the engine is full. It is room for about two requests of typical size on
+// engines that hold nine.
+const reservedShare = 0.2
 
-// Spare returns the tokens that stay free beside a copy at an endpoint.
-func Spare(e *config.Endpoint) int { return int(SpareShare * float64(e.MemoryTokens)) }
+// Spare returns how many tokens stay free beside a replica at an endpoint.
+func Spare(e *config.Endpoint) int { return int(reservedShare * float64(e.MemoryTokens)) }
 
-// Costs of a place for a copy, in shares of an engine's memory.
+// Costs of an engine for a replica, in shares of its memory.
 const (
-	costSameDomain = 0.5 // a failure domain is often lost as a whole
+	costSameDomain = 0.5 // same failure domain, which is often lost as a whole
 	costFailing    = 2.0 // every recent attempt failed
-	costOtherOwner = 0.1 // a message to another host
+	costOtherOwner = 0.1 // owned by another host: one more message
 )
 
-// Place returns the endpoint that is to keep a copy of an answer's
-// memory; nil: none is open that has room for it and for others besides. It lies in
-// the region of the engine that writes: between regions a move takes ten times as
-// long. The request's bars hold for a copy as they do for a run.
-func Place(list []*route.State, q *route.Request, r Run) (best *route.State) {
-	least := 0.0
-	from := r.Engine
+// Place returns the endpoint that should keep a replica of a request's KV cache; nil: no eligible one
+// has capacity for it with the reserved share left. It is in the decode engine's region, because a
+// transfer between regions takes ten times as long. Endpoints that are excluded for the request are
+// excluded for its replica too.
+func Place(list []*route.State, r *route.Request, run Run) (best *route.State) {
+	minCost := 0.0
+	source := run.Engine
 	for _, s := range list {
-		if s == from || s.Region != from.Region || !route.Open(s, q) || !s.Spec.Serves(q.Model) || !holds(s, q, r) {
+		if s == source || s.Region != source.Region || !route.Open(s, r) || !s.Spec.Serves(r.Model) || !hasCapacity(s, r, run) {
 			continue
 		}
-		if cost := placeCost(s, from, q.Now); best == nil || cost < least {
-			best, least = s, cost
+		if cost := replicaCost(s, source, r.Now); best == nil || cost < minCost {
+			best, minCost = s, cost
 		}
 	}
 	return best
 }
 
-// holds reports whether an endpoint is known to have room for a copy, and bears a request
-// more when the answer goes on there: one that is cold or names a limit may not.
-func holds(s *route.State, q *route.Request, r Run) bool {
-	if s.At.IsZero() || s.Cold(q.Now) || s.Limited(q.Now) || s.Digest.WaitMillis > 0 || s.Seen.Shunned(q.Now) || q.Now.Before(s.Seen.Full) {
+// hasCapacity reports whether an endpoint is known to have memory for a replica and can take one more
+// request if the answer continues there. One that is cold or names a limit may not be able to.
+func hasCapacity(s *route.State, r *route.Request, run Run) bool {
+	if s.At.IsZero() || s.Cold(r.Now) || s.Limited(r.Now) || s.Digest.WaitMillis > 0 || s.Seen.Shunned(r.Now) || r.Now.Before(s.Seen.Full) {
 		return false
 	}
-	return int(s.Digest.FreeTokens) >= r.Tokens+r.Answer+Spare(s.Spec)
+	return int(s.Digest.FreeTokens) >= run.Tokens+run.Answer+Spare(s.Spec)
 }
 
-func placeCost(s, from *route.State, now time.Time) float64 {
+func replicaCost(s, source *route.State, now time.Time) float64 {
 	cost := 1 - float64(s.Digest.FreeTokens)/float64(s.Spec.MemoryTokens)
-	cost += costFailing * failing(s, now)
-	if s.Domain == from.Domain {
+	cost += costFailing * failureRate(s, now)
+	if s.Domain == source.Domain {
 		cost += costSameDomain
 	}
 	if !s.Own {
--- a/copies/copies_test.go
+++ b/copies/copies_test.go
@@ -15,7 +15,7 @@
  "routes": [{"name": "r", "host": "h", "path_prefix": "/", "pools": [{"pool": "p", "weight": 1}]}],
  "pools": [{"name": "p", "memory_tokens": 10000, "slots": 8, "link_bytes_per_second": 1000000, "copies": true}]}`
 
-// fleet returns a view with a decode engine in each of the domains, all idle.
+// fleet returns a view with an idle decode engine per given domain, their states and a request.
 func fleet(t *testing.T, domains ...string) (*config.View, []*route.State, *route.Request) {
 	t.Helper()
 	v, err := config.NewView(1, []byte(document))
@@ -39,7 +39,7 @@
 	return v, states, &route.Request{Model: "m", Tokens: 1000, Region: all, Now: now}
 }
 
-// TestPlace states where the copy of an answer goes that engine 0, in domain a, writes.
+// TestPlace checks which engine keeps the replica of a request that decodes at engine 0, in domain a.
 func TestPlace(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -47,33 +47,33 @@
 		want   int // -1: nowhere
 	}{
 		{"another domain of the region", func([]*route.State) {}, 2},
-		{"the own domain, where the other has no room", func(s []*route.State) { s[2].Digest.FreeTokens = 3000 }, 1},
-		{"nowhere: only an engine of another region has room", func(s []*route.State) { s[1].Digest.FreeTokens, s[2].Digest.FreeTokens = 0, 0 }, -1},
-		{"not where the domain is being emptied", func(s []*route.State) { s[2].Evacuated = true }, 1},
+		{"the own domain, as the other has no capacity", func(s []*route.State) { s[2].Digest.FreeTokens = 3000 }, 1},
+		{"none: only an engine of another region has capacity", func(s []*route.State) { s[1].Digest.FreeTokens, s[2].Digest.FreeTokens = 0, 0 }, -1},
+		{"not where the domain is being evacuated", func(s []*route.State) { s[2].Evacuated = true }, 1},
 		{"not at a cold engine", func(s []*route.State) {
 			cold := *s[2].Spec
 			cold.ColdPerSecond = 21
 			s[2].Spec, s[2].ColdUntil = &cold, s[2].At.Add(time.Minute)
 		}, 1},
-		{"not at an engine that leaves", func(s []*route.State) { s[2].Leaving = true }, 1},
-		{"not at an engine of which nothing is known", func(s []*route.State) { s[2].At = time.Time{} }, 1},
-		{"not where requests wait", func(s []*route.State) { s[2].Digest.WaitMillis = 100 }, 1},
-		{"not at one that fails", func(s []*route.State) { s[2].Digest.FailPct = 90 }, 1},
-		{"not at one that was out of reach just now", func(s []*route.State) { s[2].Seen.Note(s[2].At, route.SightGone, 0) }, 1},
+		{"not at a leaving engine", func(s []*route.State) { s[2].Leaving = true }, 1},
+		{"not at an engine without a digest", func(s []*route.State) { s[2].At = time.Time{} }, 1},
+		{"not where requests queue", func(s []*route.State) { s[2].Digest.WaitMillis = 100 }, 1},
+		{"not at a failing engine", func(s []*route.State) { s[2].Digest.FailPct = 90 }, 1},
+		{"not at an engine that was just unreachable", func(s []*route.State) { s[2].Seen.Note(s[2].At, route.SightGone, 0) }, 1},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			_, states, q := fleet(t, "a", "a", "b", "c")
+			_, states, r := fleet(t, "a", "a", "b", "c")
 			tc.change(states)
-			place := Place(states, q, Run{Tokens: 1000, Answer: 500, Engine: states[0]})
-			if got := slices.Index(states, place); got != tc.want {
+			selected := Place(states, r, Run{Tokens: 1000, Answer: 500, Engine: states[0]})
+			if got := slices.Index(states, selected); got != tc.want {
 				t.Errorf("engine %d, want %d", got, tc.want)
 			}
 		})
 	}
 }
 
-// TestWants states which answers get a copy by what the pool lost lately.
+// TestWants checks which requests get a replica, by the recent failures in the pool.
 func TestWants(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -83,25 +83,25 @@
 		want   bool
 	}{
 		{"all", func([]*route.State) {}, Policy{}, false, true},
-		{"all, one that may be read again", func([]*route.State) {}, Policy{}, true, false},
-		{"by loss, calm", func([]*route.State) {}, Policy{LeastChance: 0.02}, false, false},
-		{"by loss, a neighbour is down", func(s []*route.State) { s[1].Digest.Flags = route.FlagDown }, Policy{LeastChance: 0.02}, false, true},
-		{"by loss, its own engine fails some", func(s []*route.State) { s[0].Digest.FailPct = 3 }, Policy{LeastChance: 0.02}, false, true},
-		{"by loss, another fails some", func(s []*route.State) { s[1].Digest.FailPct = 3 }, Policy{LeastChance: 0.02}, false, false},
-		{"none", func(s []*route.State) { s[0].Digest.FailPct = 100 }, Policy{LeastChance: 2}, false, false},
+		{"all, a repeatable one", func([]*route.State) {}, Policy{}, true, false},
+		{"by risk, no failures", func([]*route.State) {}, Policy{MinRisk: 0.02}, false, false},
+		{"by risk, another engine is down", func(s []*route.State) { s[1].Digest.Flags = route.FlagDown }, Policy{MinRisk: 0.02}, false, true},
+		{"by risk, its own engine fails a little", func(s []*route.State) { s[0].Digest.FailPct = 3 }, Policy{MinRisk: 0.02}, false, true},
+		{"by risk, another engine fails a little", func(s []*route.State) { s[1].Digest.FailPct = 3 }, Policy{MinRisk: 0.02}, false, false},
+		{"none", func(s []*route.State) { s[0].Digest.FailPct = 100 }, Policy{MinRisk: 2}, false, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			_, states, q := fleet(t, "a", "a", "b", "b")
+			_, states, r := fleet(t, "a", "a", "b", "b")
 			tc.change(states)
-			if got := tc.policy.Wants(Run{Again: tc.again}, Chance(states, states[0], q.Now)); got != tc.want {
-				t.Errorf("wants one: %v, want %v", got, tc.want)
+			if got := tc.policy.Wants(Run{Again: tc.again}, Chance(states, states[0], r.Now)); got != tc.want {
+				t.Errorf("wants a replica: %v, want %v", got, tc.want)
 			}
 		})
 	}
 }
 
-// TestAffords states how full a region's engines may be for a copy to be begun.
+// TestAffords checks how full a region's engines may be to start a replica.
 func TestAffords(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -116,7 +116,7 @@
 		{"the region is full, another is not", func(s []*route.State) {
 			s[0].Digest.FreeTokens, s[1].Digest.FreeTokens, s[2].Digest.FreeTokens = 0, 0, 0
 		}, false},
-		{"what is down has no room", func(s []*route.State) {
+		{"engines that are down don't count", func(s []*route.State) {
 			s[1].Digest.Flags, s[2].Digest.Flags, s[0].Digest.FreeTokens = route.FlagDown, route.FlagDown, 1000
 		}, false},
 	}
@@ -124,16 +124,16 @@
 		t.Run(tc.name, func(t *testing.T) {
 			_, states, _ := fleet(t, "a", "a", "b", "c")
 			tc.change(states)
-			if got := (Policy{PoolSpare: 0.4}).Affords(states, states[0]); got != tc.want {
+			if got := (Policy{MinPoolFree: 0.4}).Affords(states, states[0]); got != tc.want {
 				t.Errorf("%v, want %v", got, tc.want)
 			}
 		})
 	}
 }
 
-// TestQuiet states how long an engine may be silent.
+// TestQuiet checks how long an engine may be silent before it is probed.
 func TestQuiet(t *testing.T) {
-	for pause, want := range map[time.Duration]time.Duration{0: quietLeast, 50 * time.Millisecond: 150 * time.Millisecond, time.Hour: quietMost} {
+	for pause, want := range map[time.Duration]time.Duration{0: minSilence, 50 * time.Millisecond: 150 * time.Millisecond, time.Hour: maxSilence} {
 		if got := Quiet(pause); got != want {
 			t.Errorf("%s after pauses of %s, want %s", got, pause, want)
 		}
--- a/copies/model_test.go
+++ b/copies/model_test.go
@@ -2,35 +2,36 @@
 
 import "testing"
 
-// pieces of the answer that the model plays.
-const pieces = 3
+// chunks is the length of the modeled answer.
+const chunks = 3
 
-// world is an answer that is written by one engine and copied to another, with all that
-// may happen between them, the entry host and the caller. Links keep the order of what
-// they carry; what was sent before a cut may still arrive.
+// world is the state of a request that decodes at one engine and is replicated to another, with the
+// entry host and the caller. Links deliver in order; what was sent before a cut may still arrive.
 type world struct {
-	wrote  int  // pieces that the first engine has made
-	sent   int  // of them on their way to the entry host or there
-	down   bool // the first engine has ended, and its stream is cut
-	dark   bool // it works on, and nobody reaches it
-	copied int  // pieces that the copy has; -1: it has none
-	ended  bool // the first engine made the last piece: its copy is freed
+	decoded     int  // chunks that the first engine has produced
+	sent        int  // of these, on their way to the entry host or received by it
+	crashed     bool // the first engine has crashed, and its stream is cut
+	unreachable bool // the first engine continues, but nobody can reach it
+	replicated  int  // chunks that the replica covers; -1: there is no replica
+	finished    bool // the first engine has produced the last chunk, and the replica is freed
 
-	got    int  // pieces that the caller has, in order
-	asked  bool // the entry host asks the first engine whether it lives
-	closed bool // the entry host has closed its connection to the first engine
-	seen   bool // the first engine has seen that, and ends the run
-	second bool // the second engine was called
-	refuse bool // it had no copy
-	next   int  // pieces that the second engine has made, counted from the first of all
-	left   bool // the caller
-	done   bool // the entry host has answered or cut the answer
+	received   int  // chunks that the caller has received, in order
+	probed     bool // the entry host is probing the first engine
+	closed     bool // the entry host has closed its connection to the first engine
+	aborted    bool // the first engine has noticed that and aborts the run
+	continued  bool // the second engine was called to continue
+	refused    bool // the second engine had no replica
+	next       int  // chunks up to which the second engine has produced, counted from the start of the answer
+	callerGone bool // the caller has disconnected
+	done       bool // the entry host has completed or cut the answer
 }
 
-// running reports whether the first engine works where the entry host reaches it.
-func (w world) running() bool { return !w.down && !w.dark && !w.seen && w.wrote < pieces }
+// running reports whether the first engine is running the request and reachable.
+func (w world) running() bool {
+	return !w.crashed && !w.unreachable && !w.aborted && w.decoded < chunks
+}
 
-// steps lists the worlds that may follow.
+// steps lists the possible next states.
 func (w world) steps() (out []world) {
 	step := func(can bool, f func(n *world)) {
 		if can && !w.done {
@@ -39,50 +40,50 @@
 			out = append(out, n)
 		}
 	}
-	step(!w.down && !w.seen && w.wrote < pieces, func(n *world) {
-		n.wrote++
-		n.ended = n.wrote == pieces
+	step(!w.crashed && !w.aborted && w.decoded < chunks, func(n *world) {
+		n.decoded++
+		n.finished = n.decoded == chunks
 	})
-	step(!w.down && !w.dark && w.sent < w.wrote, func(n *world) { n.sent++ })
-	step(!w.down && !w.seen && !w.ended && w.copied < w.wrote, func(n *world) { n.copied = n.wrote })
-	step(!w.down && w.wrote < pieces, func(n *world) { n.down = true })
-	step(!w.down && !w.dark, func(n *world) { n.dark = true })
-	step(w.dark, func(n *world) { n.dark, n.seen = false, n.closed }) // it is told of what was closed before all else
-	step(w.closed && !w.dark, func(n *world) { n.seen = true })
-	step(!w.left, func(n *world) { n.left = true })
-	step(w.left, func(n *world) { n.closed, n.done = true, true })
-	step(!w.second && !w.closed && w.got < w.sent, func(n *world) { n.got++; n.asked = false })
-	step(!w.second && w.got == pieces, func(n *world) { n.done = true })
-	step(!w.second && !w.closed && !w.asked && w.got == w.sent, func(n *world) { n.asked = true })
-	step(w.asked && !w.dark && !w.down, func(n *world) { n.asked = false }) // it lives
-	step(w.asked && (w.dark || w.down), func(n *world) { n.closed, n.asked = true, false; n.goOn(false) })
-	step(!w.second && !w.closed && w.down && w.got == w.sent && w.got < pieces, func(n *world) { n.closed = true; n.goOn(false) })
-	// The entry host gives the engine up over what it said, while it works on.
-	step(!w.second && !w.closed && !w.down && w.got > 0 && w.got < pieces, func(n *world) { n.closed = true; n.goOn(true) })
-	step(w.second && !w.refuse && w.next < pieces, func(n *world) { n.next++; n.got++ })
-	step(w.second && w.next == pieces, func(n *world) { n.done = true })
+	step(!w.crashed && !w.unreachable && w.sent < w.decoded, func(n *world) { n.sent++ })
+	step(!w.crashed && !w.aborted && !w.finished && w.replicated < w.decoded, func(n *world) { n.replicated = n.decoded })
+	step(!w.crashed && w.decoded < chunks, func(n *world) { n.crashed = true })
+	step(!w.crashed && !w.unreachable, func(n *world) { n.unreachable = true })
+	step(w.unreachable, func(n *world) { n.unreachable, n.aborted = false, n.closed }) // it learns of the closed connection before anything else
+	step(w.closed && !w.unreachable, func(n *world) { n.aborted = true })
+	step(!w.callerGone, func(n *world) { n.callerGone = true })
+	step(w.callerGone, func(n *world) { n.closed, n.done = true, true })
+	step(!w.continued && !w.closed && w.received < w.sent, func(n *world) { n.received++; n.probed = false })
+	step(!w.continued && w.received == chunks, func(n *world) { n.done = true })
+	step(!w.continued && !w.closed && !w.probed && w.received == w.sent, func(n *world) { n.probed = true })
+	step(w.probed && !w.unreachable && !w.crashed, func(n *world) { n.probed = false }) // it responds
+	step(w.probed && (w.unreachable || w.crashed), func(n *world) { n.closed, n.probed = true, false; n.continueAtReplica(false) })
+	step(!w.continued && !w.closed && w.crashed && w.received == w.sent && w.received < chunks, func(n *world) { n.closed = true; n.continueAtReplica(false) })
+	// The entry host abandons the engine because of its response, while the engine continues.
+	step(!w.continued && !w.closed && !w.crashed && w.received > 0 && w.received < chunks, func(n *world) { n.closed = true; n.continueAtReplica(true) })
+	step(w.continued && !w.refused && w.next < chunks, func(n *world) { n.next++; n.received++ })
+	step(w.continued && w.next == chunks, func(n *world) { n.done = true })
 	return out
 }
 
-// goOn is what the entry host does once it has given the first engine up.
-func (w *world) goOn(works bool) {
-	if !(End{Copied: true, CallerGone: w.left, MayHaveRun: true, Works: works, Grown: FirstPart}).GoesOn() {
+// continueAtReplica is what the entry host does after it has abandoned the first engine.
+func (w *world) continueAtReplica(mayRun bool) {
+	if !(End{Copied: true, CallerGone: w.callerGone, MayHaveRun: true, Works: mayRun, Grown: firstPartDelay}).GoesOn() {
 		w.done = true
 		return
 	}
-	w.second, w.next = true, w.got
-	if w.copied < 0 || w.ended { // a copy that is gone is refused, and nothing runs
-		w.refuse, w.done = true, true
+	w.continued, w.next = true, w.received
+	if w.replicated < 0 || w.finished { // without a replica the second engine refuses, and nothing runs
+		w.refused, w.done = true, true
 	}
 }
 
-// TestModel plays every order of what engines, the copy, the entry host and the caller
-// may do: the request is never at work at two engines that are in reach, the caller gets
-// each piece once and in order, and an answer that is told to be whole is.
+// TestModel explores every order of actions of the engines, the replica, the entry host and the
+// caller. The request must never run at two reachable engines at once, the caller must get each
+// chunk once and in order, and an answer reported as complete must be complete.
 func TestModel(t *testing.T) {
 	seen := map[world]bool{}
-	todo := []world{{copied: -1}}
-	wentOn, whole := 0, 0
+	todo := []world{{replicated: -1}}
+	continuedWhole, whole := 0, 0
 	for len(todo) > 0 {
 		w := todo[len(todo)-1]
 		todo = todo[:len(todo)-1]
@@ -90,21 +91,21 @@
 			continue
 		}
 		seen[w] = true
-		if w.second && !w.refuse && w.running() {
-			t.Fatalf("at work at both engines: %+v", w)
+		if w.continued && !w.refused && w.running() {
+			t.Fatalf("running at both engines: %+v", w)
 		}
-		if w.got > pieces || w.second && w.next != w.got {
-			t.Fatalf("pieces twice or left out: %+v", w)
+		if w.received > chunks || w.continued && w.next != w.received {
+			t.Fatalf("chunks duplicated or missing: %+v", w)
 		}
-		if w.second && !w.refuse && w.next == pieces && w.done && !w.left {
-			wentOn++
+		if w.continued && !w.refused && w.next == chunks && w.done && !w.callerGone {
+			continuedWhole++
 		}
-		if w.done && w.got == pieces {
+		if w.done && w.received == chunks {
 			whole++
 		}
 		todo = append(todo, w.steps()...)
 	}
-	if wentOn == 0 || whole == 0 {
-		t.Errorf("of %d states %d are whole, and %d went on from a copy", len(seen), whole, wentOn)
+	if continuedWhole == 0 || whole == 0 {
+		t.Errorf("of %d states %d are complete, and %d continued from a replica", len(seen), whole, continuedWhole)
 	}
 }
--- a/copies/silence.go
+++ b/copies/silence.go
@@ -2,18 +2,16 @@
 
 import "time"
 
-// When an engine that writes nothing is asked whether it lives. A copy is kept for
-// half a second after the engine fell silent on the deployments that offer copies, so
-// the silence has to be noticed and confirmed well within that.
+// When a silent decode engine is probed. Deployments with replicas keep one for half a second after
+// the engine fell silent, so silence must be detected and confirmed well within that time.
 const (
-	quietFactor = 3                      // times the pause that is expected
-	quietLeast  = 100 * time.Millisecond // below it the pauses of a busy engine are met
-	quietMost   = 250 * time.Millisecond // beyond it the copy is gone before it is taken up
+	silenceFactor = 3                      // times the expected pause
+	minSilence    = 100 * time.Millisecond // busy engines normally pause for less than this
+	maxSilence    = 250 * time.Millisecond // any longer, and the replica expires before the request continues from it
 )
 
-// Quiet returns how long an engine may write nothing until it is asked whether it
-// lives. pause is the longest expected between two pieces: what the answer showed so
-// far, or the forecast.
+// Quiet returns how long an engine may send nothing before it is probed. pause is the longest expected
+// pause between two chunks: as observed in this answer, or by forecast.
 func Quiet(pause time.Duration) time.Duration {
-	return min(max(quietFactor*pause, quietLeast), quietMost)
+	return min(max(silenceFactor*pause, minSilence), maxSilence)
 }
