--- a/region/region.go
+++ b/region/region.go
@@ -65,8 +65,8 @@
 	requestsPerService = 2
 )
 
-// decodeCapacity returns how many requests a decode engine that accepts them adds to the offer.
-func decodeCapacity(r Room) int {
+// offeredRequests returns how many requests a decode engine that accepts them adds to the offer.
+func offeredRequests(r Room) int {
 	left := float64(r.Free)/float64(max(1, r.Memory)) - ownShare
 	return min(max(1, int(perIdleDecode*left)), maxPerDecode)
 }
@@ -162,7 +162,7 @@
 	}
 	room := Room{Free: int(d.FreeTokens), Memory: s.Spec.MemoryTokens, Slots: int(d.FreeSlots), AllSlots: s.Spec.Slots,
 		Wait: time.Duration(d.WaitMillis) * time.Millisecond}
-	p.decode.add(open && TakesRoom(room), decodeCapacity(room), 0)
+	p.decode.add(open && TakesRoom(room), offeredRequests(room), 0)
 }
 
 // maxFailing is the share of failed calls from which an endpoint of a service is not offered.
--- a/retry/budgets.go
+++ b/retry/budgets.go
@@ -1,7 +1,7 @@
-// Package retry decides what a request that failed or was refused may cost further: how
-// many more calls are made for it, and when its caller should come back.
+// Package retry decides how many retries are made for a request that failed or was refused, and when
+// its caller should try again.
 //
-// Its types are safe for concurrent use, keep what they learn in memory, and ask nobody.
+// Its types are safe for concurrent use, keep their state in memory and do no I/O.
 package retry
 
 import (
@@ -11,64 +11,61 @@
 	"github.com/embercove/embercove/config"
 )
 
-// Sizes of a retry budget that earns, in retries.
+// Sizes of the retry budget of a team or endpoint, in retries.
 const (
-	budgetStart = 2.0
-	budgetMost  = 10.0
-	maxBudgets  = 4096
+	initialRetries = 2.0
+	maxRetries     = 10.0
+	maxEntries     = 4096
 )
 
-// Budgets bound retries. Each team and each endpoint has a share of its recent
-// successes to spend, so that failing endpoints are not met with a storm of
-// further tries. Where the settings name a window, each pool of endpoints has
-// besides a number of further calls in it, which all hosts share.
+// Budgets bounds retries. Each team and each endpoint may spend a share of its recent successes, so
+// that failing endpoints don't cause a retry storm. If the settings define a window, each pool also
+// has a number of retries per window, which all hosts share.
 type Budgets struct {
-	hosts func() int // that share a window's extra
+	hosts func() int // number of hosts that share the window's Extra
 
-	mu     sync.Mutex
-	window config.RetryBudget
-	left   map[string]float64
-	pools  map[string]*poolUse
+	mu        sync.Mutex
+	window    config.RetryBudget
+	remaining map[string]float64
+	pools     map[string]*poolWindow
 }
 
-// NewBudgets returns budgets with a window, which the hosts share whose number hosts
-// returns.
+// NewBudgets returns budgets with a window. hosts returns how many hosts share the window.
 func NewBudgets(window config.RetryBudget, hosts func() int) *Budgets {
-	return &Budgets{window: window, left: map[string]float64{}, pools: map[string]*poolUse{}, hosts: hosts}
+	return &Budgets{window: window, remaining: map[string]float64{}, pools: map[string]*poolWindow{}, hosts: hosts}
 }
 
-// Windowed reports whether further calls are counted in a window.
+// Windowed reports whether retries are counted in a window.
 func (b *Budgets) Windowed() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.window.Seconds > 0
 }
 
-// Set has another window hold from now on.
+// Set changes the window. A different window drops all counts.
 func (b *Budgets) Set(w config.RetryBudget) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.window != w {
-		b.window, b.pools = w, map[string]*poolUse{}
+		b.window, b.pools = w, map[string]*poolWindow{}
 	}
 }
 
 func (b *Budgets) get(name string) float64 {
-	n, ok := b.left[name]
+	n, ok := b.remaining[name]
 	if !ok {
-		return budgetStart
+		return initialRetries
 	}
 	return n
 }
 
 func (b *Budgets) put(name string, n float64) {
-	if _, ok := b.left[name]; ok || len(b.left) < maxBudgets {
-		b.left[name] = n
+	if _, ok := b.remaining[name]; ok || len(b.remaining) < maxEntries {
+		b.remaining[name] = n
 	}
 }
 
-// Take spends one retry of the team and of the endpoint that failed, if both
-// have one left.
+// Take spends one retry of both the team and the failed endpoint, if both have one left.
 func (b *Budgets) Take(team, endpoint string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -81,36 +78,36 @@
 	return true
 }
 
-// Earn adds a share of a retry to both after a success.
+// Earn adds a fraction of a retry to the budgets of both after a success.
 func (b *Budgets) Earn(team, endpoint string, share float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, name := range []string{"t/" + team, "e/" + endpoint} {
-		b.put(name, min(budgetMost, b.get(name)+share))
+		b.put(name, min(maxRetries, b.get(name)+share))
 	}
 }
 
-// poolUse counts a pool's requests and further calls in slices of a window.
-type poolUse struct {
+// poolWindow counts a pool's requests and retries in the slices of a sliding window.
+type poolWindow struct {
 	slice    int64 // number of the newest slice
 	requests [windowSlices]int
-	further  [windowSlices]int
+	retries  [windowSlices]int
 }
 
-// windowSlices is how finely a window slides.
+// windowSlices is the number of slices of a window.
 const windowSlices = 20
 
-// cautious is the part of a window's budget that is spent: hosts count apart,
-// and their windows end at other moments.
-const cautious = 0.75
+// safetyFactor is the part of a window's budget that is used. Hosts count separately, and their
+// windows aren't aligned.
+const safetyFactor = 0.75
 
-func (u *poolUse) advance(slice int64) {
+func (u *poolWindow) advance(slice int64) {
 	for ; u.slice < slice; u.slice++ {
 		if slice-u.slice > windowSlices {
 			u.slice = slice - windowSlices
 		}
-		at := (u.slice + 1) % windowSlices
-		u.requests[at], u.further[at] = 0, 0
+		index := (u.slice + 1) % windowSlices
+		u.requests[index], u.retries[index] = 0, 0
 	}
 }
 
@@ -122,40 +119,40 @@
 	return float64(n)
 }
 
-func (b *Budgets) pool(name string, now time.Time) *poolUse {
+func (b *Budgets) poolAt(name string, now time.Time) *poolWindow {
 	u := b.pools[name]
 	slice := now.UnixNano() / int64(b.window.Window()/windowSlices)
 	if u == nil {
-		u = &poolUse{slice: slice}
+		u = &poolWindow{slice: slice}
 		b.pools[name] = u
 	}
 	u.advance(slice)
 	return u
 }
 
-// Count notes a request for a pool.
+// Count counts a request for a pool.
 func (b *Budgets) Count(pool string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.window.Seconds == 0 {
 		return
 	}
-	u := b.pool(pool, now)
+	u := b.poolAt(pool, now)
 	u.requests[u.slice%windowSlices]++
 }
 
-// Further spends n further calls to a pool, if the window has so many left.
+// Further spends n retries of a pool, if the window has that many left.
 func (b *Budgets) Further(pool string, now time.Time, n int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.window.Seconds == 0 || n == 0 {
 		return true
 	}
-	u := b.pool(pool, now)
-	most := b.window.Share*sum(u.requests) + b.window.Extra/float64(max(1, b.hosts()))
-	if sum(u.further)+float64(n) > cautious*most {
+	u := b.poolAt(pool, now)
+	limit := b.window.Share*sum(u.requests) + b.window.Extra/float64(max(1, b.hosts()))
+	if sum(u.retries)+float64(n) > safetyFactor*limit {
 		return false
 	}
-	u.further[u.slice%windowSlices] += n
+	u.retries[u.slice%windowSlices] += n
 	return true
 }
--- a/retry/comeback.go
+++ b/retry/comeback.go
@@ -8,48 +8,47 @@
 	"github.com/embercove/embercove/result"
 )
 
-// ComeBack forecasts when a request that was refused for lack of room should be
-// sent again. Engines that are full now have taken in new answers as soon as the
-// ones that they write are over, and who comes back before that mostly meets the
-// same crowd. So the time is that of a usual answer. It is spread, so that those
-// who were refused together don't come back together.
+// ComeBack forecasts when a request that was refused for lack of capacity should be retried. Full
+// engines accept new requests when their running ones end, and an earlier retry mostly finds them
+// still full. So the delay is the typical time of an answer. It is randomized, so that callers that
+// were refused together don't retry together.
 type ComeBack struct {
 	mu    sync.Mutex
-	pools map[string]time.Duration // time of a usual answer, an average
+	pools map[string]time.Duration // average time of an answer
 }
 
 // Weights of ComeBack.
 const (
-	answerWeight = 0.1 // of an answer in the average
-	spreadLeast  = 0.5 // of the time of a usual answer
-	spreadMost   = 1.5
+	answerWeight = 0.1 // of a new answer in the average
+	minSpread    = 0.5 // of the typical time of an answer
+	maxSpread    = 1.5
 )
 
-// NewComeBack returns a forecast that has seen nothing.
+// NewComeBack returns a forecast without observations.
 func NewComeBack() *ComeBack { return &ComeBack{pools: map[string]time.Duration{}} }
 
-// Learn takes in an answer that was whole.
+// Learn records how long a complete answer took.
 func (c *ComeBack) Learn(pool string, took time.Duration) {
 	if took <= 0 {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	usual, seen := c.pools[pool]
+	typical, seen := c.pools[pool]
 	if !seen {
-		usual = took
+		typical = took
 	}
-	c.pools[pool] = usual + time.Duration(answerWeight*float64(took-usual))
+	c.pools[pool] = typical + time.Duration(answerWeight*float64(took-typical))
 }
 
-// After returns when to come back to a pool whose owners told some time.
-func (c *ComeBack) After(pool string, told time.Duration) time.Duration {
+// After returns the delay before a retry at a pool. It is at least the one that owners reported.
+func (c *ComeBack) After(pool string, reported time.Duration) time.Duration {
 	c.mu.Lock()
-	usual := c.pools[pool]
+	typical := c.pools[pool]
 	c.mu.Unlock()
-	spread := spreadLeast + (spreadMost-spreadLeast)*rand.Float64()
-	return max(told, time.Duration(spread*float64(usual)))
+	spread := minSpread + (maxSpread-minSpread)*rand.Float64()
+	return max(reported, time.Duration(spread*float64(typical)))
 }
 
-// LacksRoom reports whether a refusal is one for lack of room.
+// LacksRoom reports whether a request was refused for lack of capacity.
 func LacksRoom(c result.Code) bool { return c == result.TooLate || c == result.NoDecodeMemory }
--- a/route/explain.go
+++ b/route/explain.go
@@ -31,7 +31,7 @@
 	v, c := f.View, f.Pick(r)
 	var out []Candidate
 	for _, s := range slices.Concat(r.Group.Prefill.All(), r.Group.Decode.All()) {
-		row := Candidate{Endpoint: s.Spec.Name, Role: s.Role, Domain: s.Spec.Domain, Cost: -1, Why: exclusionReason(s, r),
+		row := Candidate{Endpoint: s.Spec.Name, Role: s.Role, Domain: s.Spec.Domain, Cost: -1, Why: explainReason(s, r),
 			Queue: float64(s.Digest.QueueMillis) / 1000, Free: s.Digest.FreeTokens, Age: -1, Cold: s.ColdFor(r.Now).Seconds(),
 			Chosen: s.Spec == c.Prefill || s.Spec == c.Decode}
 		if !s.At.IsZero() {
@@ -62,8 +62,8 @@
 	return out
 }
 
-// exclusionReason returns why a request can't go to an endpoint, or "".
-func exclusionReason(s *State, r *Request) string {
+// explainReason returns why a request can't go to an endpoint, or "".
+func explainReason(s *State, r *Request) string {
 	if b := Barred(s, r); b != BarNone {
 		return b.String()
 	}
--- a/route/state.go
+++ b/route/state.go
@@ -71,7 +71,7 @@
 	Own              bool      // this host owns it: asking it needs no message
 	Sent             int       // requests from this host in flight
 	Connections      int       // that the endpoint accepts from all hosts together; 0: unlimited
-	Seen             Experience
+	Seen             CallStats
 }
 
 // Number returns the number that stands for an endpoint's name in messages.
@@ -102,8 +102,8 @@
 	return float64(s.Digest.SlowPct) / 100
 }
 
-// Experience sums up the outcomes of this host's own calls to an endpoint. Older calls count less.
-type Experience struct {
+// CallStats sums up the outcomes of this host's own calls to an endpoint. Older calls count less.
+type CallStats struct {
 	Failed                 float64   // decaying share of failed calls, as of At
 	At                     time.Time // of the last call
 	Shun                   time.Time // until when it counts as unreachable
@@ -112,7 +112,7 @@
 	Took                   float64   // average seconds of a call
 }
 
-// Times and weights of Experience. Each further call that doesn't reach the endpoint doubles
+// Times and weights of CallStats. Each further call that doesn't reach the endpoint doubles
 // firstUnreachable, up to maxUnreachable.
 const (
 	failureWeight    = 0.25
@@ -123,19 +123,19 @@
 	fullFor          = 60 * time.Millisecond
 )
 
-// Sight is the outcome of one call to an endpoint.
-type Sight uint8
+// CallOutcome is the outcome of one call to an endpoint.
+type CallOutcome uint8
 
 // The outcomes of a call.
 const (
-	SightWhole  Sight = iota // it answered
-	SightFailed              // it failed or aborted its answer
-	SightFull                // it refused for lack of capacity
-	SightGone                // it was unreachable, or another endpoint has its address
+	SightWhole  CallOutcome = iota // it answered
+	SightFailed                    // it failed or aborted its answer
+	SightFull                      // it refused for lack of capacity
+	SightGone                      // it was unreachable, or another endpoint has its address
 )
 
 // Note records the outcome of one call.
-func (x *Experience) Note(now time.Time, s Sight, took time.Duration) {
+func (x *CallStats) Note(now time.Time, s CallOutcome, took time.Duration) {
 	x.Failed, x.At = x.Failing(now), now
 	switch s {
 	case SightWhole:
@@ -156,7 +156,7 @@
 }
 
 // Failing returns the share of calls that failed recently.
-func (x *Experience) Failing(now time.Time) float64 {
+func (x *CallStats) Failing(now time.Time) float64 {
 	if x.At.IsZero() {
 		return 0
 	}
@@ -172,7 +172,7 @@
 }
 
 // Shunned reports whether the endpoint counts as unreachable.
-func (x *Experience) Shunned(now time.Time) bool { return now.Before(x.Shun) }
+func (x *CallStats) Shunned(now time.Time) bool { return now.Before(x.Shun) }
 
 // Uncached returns how many of the prompt's tokens the endpoint has to prefill. Cache events come
 // late and with gaps, so the cached part is weighted by how reliable they proved to be.
