--- a/copies/copies.go
+++ b/copies/copies.go
@@ -50,7 +50,7 @@
 	CallerGone bool
 	MayHaveRun bool // else the request can be routed again, and nothing is lost
 	Works      bool // the engine may still run it: it neither ended it nor is unreachable
-	// Grown is how long decode has run. Before a first part of the replica can have arrived there is
+	// How long decode has run. Before a first part of the replica can have arrived there is
 	// nothing to continue from, and an engine that loses the request before it looks for the replica
 	// counts as having run it a second time.
 	Grown time.Duration
--- a/forecast/moment.go
+++ b/forecast/moment.go
@@ -4,7 +4,7 @@
 // prior counts for.
 type Moment struct{ Mean, Weight float64 }
 
-// maxWeight bounds the weight of a Moment: older observations decay exponentially.
+// maxWeight bounds the weight of a mean: older observations decay exponentially.
 const maxWeight = 400.0
 
 // Learn adds the observation x.
--- a/retry/comeback.go
+++ b/retry/comeback.go
@@ -17,7 +17,7 @@
 	pools map[string]time.Duration // average time of an answer
 }
 
-// Weights of ComeBack.
+// Weights of the forecast.
 const (
 	answerWeight = 0.1 // of a new answer in the average
 	minSpread    = 0.5 // of the typical time of an answer
--- a/route/gate.go
+++ b/route/gate.go
@@ -79,7 +79,7 @@
 	return [reasonCount]string{"", "gone", "leaving", "doubted", "emptied", "down", "wrong_state", "cut_off", "resting", "no_home", "other_region", "cold", "limited", "connections", "excluded", "trial"}[b]
 }
 
-// Barred returns why a request may not be sent to an endpoint of any role now; BarNone: it may.
+// Barred returns why a request may not be sent to an endpoint of any role now; zero: it may.
 // Every path checks it when an endpoint is chosen and again just before the call.
 func Barred(s *State, r *Request) Bar {
 	switch {
@@ -133,7 +133,7 @@
 func Open(s *State, r *Request) bool { return Barred(s, r) == BarNone }
 
 // Blame returns the most frequent reason among endpoints of which none is eligible for a request;
-// BarNone: the list is empty. BarRegion counts only if there is no other reason.
+// zero: the list is empty. Being in a remote region counts only if there is no other reason.
 func Blame(list []*State, r *Request) Bar {
 	var counts [reasonCount]int
 	for _, s := range list {
--- a/route/pick.go
+++ b/route/pick.go
@@ -50,7 +50,7 @@
 	return false
 }
 
-// Drop excludes an endpoint. It does nothing if MostExcluded are excluded already.
+// Drop excludes an endpoint. It does nothing if the list is full.
 func (r *Request) Drop(number uint32) {
 	for k, x := range r.Exclude {
 		if x == 0 {
