--- a/roles/roles.go
+++ b/roles/roles.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	minEngines  = 4 // smaller pools keep their roles
+	minEngines  = 4 // smaller pools keep their roles unless they are starved
 	minPrefills = 2
 )
 
--- a/route/baseline.go
+++ b/route/baseline.go
@@ -26,19 +26,19 @@
 		return open[counter%uint64(n)]
 	case config.ModeTwoChoices:
 		a, b := open[int(noise(r.Seed, 1)*float64(n))], open[int(noise(r.Seed, 2)*float64(n))]
-		if lagged(b) < lagged(a) {
+		if knownLoad(b) < knownLoad(a) {
 			return b
 		}
 		return a
 	case config.ModeLagged:
-		return slices.MinFunc(open, func(a, b *State) int { return cmp.Compare(lagged(a), lagged(b)) })
+		return slices.MinFunc(open, func(a, b *State) int { return cmp.Compare(knownLoad(a), knownLoad(b)) })
 	default:
 		return open[int(noise(r.Seed, 0)*float64(n))]
 	}
 }
 
-// lagged returns the load by the last digest plus this host's own requests in flight.
-func lagged(s *State) float64 {
+// knownLoad returns the load by the last digest plus this host's own requests in flight.
+func knownLoad(s *State) float64 {
 	if s.Role == config.Prefill {
 		return float64(s.Digest.QueueMillis) + 50*float64(s.Sent)
 	}
--- a/route/pick.go
+++ b/route/pick.go
@@ -25,8 +25,7 @@
 	Hosts     int    // in the fleet, as far as this host knows
 	Trial     bool   // it may crash the endpoint: prefer those with the fewest requests in progress
 	Seed      uint64 // spreads the choices of many hosts over near-equal endpoints
-	// FixedPrefill is the number of a prefill endpoint that has already
-	// called the request; 0: any.
+	// FixedPrefill is the number of a prefill endpoint that has already admitted the request; 0: any.
 	FixedPrefill uint32
 	// Exclude holds the numbers of endpoints that refused or failed; 0 ends the list. It holds
 	// numbers because indexes change with the view.
@@ -80,8 +79,8 @@
 	costFailing      = 2.000 // every recent attempt failed
 	costFill         = 0.080 // a full batch compared with an empty one
 	costCallsFailing = 1.000 // every recent call from this host failed
-	costFailureRisk  = 0.100 // probes: per request in progress there, which a crash would end; ten of them cost one second
-	costCold         = 0.080 // cold: slow, and needs a start permit; small, so that a returning endpoint fills slowly but isn't avoided
+	costFailureRisk  = 0.100 // probes: per request in progress there, which a crash would end; ten cost one second
+	costCold         = 0.080 // cold: slow, and needs a permit; small, so that a returning endpoint fills slowly but isn't avoided
 	costLimited      = 0.080 // names a limit: it takes what the others have no capacity for
 	costUnreachable  = 8.000 // unreachable when this host last tried
 	jitterShare      = 0.10  // relative jitter that spreads requests over near-equal endpoints
--- a/route/pick_test.go
+++ b/route/pick_test.go
@@ -100,7 +100,7 @@
 		}, pre: []int{p0, p1, p3, p4}, dec: []int{d0, d1, d3, d4}},
 		{name: "slow", change: func(s []*State, _ *Request) { s[p0].Digest.SlowPct = 300 }, pre: []int{p3}, dec: []int{d0, d3}},
 		{name: "refused before", change: func(_ []*State, r *Request) { r.Drop(Number("p0")); r.Drop(Number("d3")) }, pre: []int{p3}, dec: []int{d0}},
-		{name: "called already", change: func(_ []*State, r *Request) { r.FixedPrefill = Number("p3") }, pre: []int{p3}, dec: []int{d0, d3}},
+		{name: "admitted already", change: func(_ []*State, r *Request) { r.FixedPrefill = Number("p3") }, pre: []int{p3}, dec: []int{d0, d3}},
 		{name: "cold", change: func(s []*State, _ *Request) {
 			for _, i := range []int{p0, d0} {
 				cold := *s[i].Spec
