--- a/pace/cold.go
+++ b/pace/cold.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// ColdWindow is the time over which the bound of a cold endpoint is counted.
+// ColdWindow is the time over which requests to a cold endpoint are counted against its bound.
 const ColdWindow = time.Second
 
-// coldBurst is the part of what may start in a second that may start at the same moment.
-// The more it is the fewer a second are left for the rest.
-const coldBurst = 0.1
+// coldBurstPart is the part of a second's permits that may start at the same instant. A larger
+// burst leaves fewer permits for the rest of the second.
+const coldBurstPart = 0.1
 
-// ColdBound returns how many requests a cold endpoint may be sent in any one second: what it
-// bears, times an overrun that operators allow, and a tolerance beyond that. An overrun of
-// 0 is unknown and stands for 1. 0: there is no bound.
+// ColdBound returns how many requests a cold endpoint may be sent in any one second: its configured
+// rate while cold, times the overrun that operators allow, plus a tolerance. An overrun of 0 is
+// unset and counts as 1. The result 0 means that there is no bound.
 func ColdBound(perSecond, overrun, tolerance float64) float64 {
 	if perSecond <= 0 {
 		return 0
@@ -22,13 +22,13 @@
 	return max(1, perSecond*overrun+tolerance)
 }
 
-// ColdTerms returns the terms for a share of such a bound. Starts are used up to Lag late, so
-// those of ColdWindow and this much may be used within ColdWindow. A share of less than one
-// start allows none: many hosts with one each would exceed any bound.
+// ColdTerms returns the token bucket for a share of such a bound. Permits are used up to Lag late,
+// so the permits of ColdWindow plus Lag may all be used within one ColdWindow. A share of less than
+// one permit grants none: many hosts with one permit each would exceed any bound.
 func ColdTerms(share float64) Terms {
 	if share < 1 {
 		return Terms{}
 	}
-	burst := max(1, coldBurst*share)
+	burst := max(1, coldBurstPart*share)
 	return Terms{burst, (share - burst) / (ColdWindow + Lag).Seconds()}
 }
--- a/pace/doc.go
+++ b/pace/doc.go
@@ -1,11 +1,10 @@
-// Package pace decides how many requests a second an endpoint is sent by all hosts together,
-// where that is bounded: while it is cold, and while it names a limit in its answers. One host
-// gives out the starts at such an endpoint (see package owner); Pace says when the next one is
-// due, Votes and Right how much of the whole one host may give out while others may take
-// themselves for the same, Belief which limit an endpoint names, and Lone what a host may send
-// that reaches none of the others.
+// Package pace limits how many requests a second all hosts together send to one endpoint: while the
+// endpoint is cold, and while its answers name a rate limit. One host grants the start permits for
+// such an endpoint (see package owner). Bucket says when the next permit is due. Votes and
+// GrantedVotes say which share of the bound a host may grant while other hosts may also take
+// themselves for the owner. LimitState holds the limit that an endpoint names. IsolatedLimiter
+// limits what a host sends that reaches none of the other hosts.
 //
-// It answers to any load at any number of hosts: whatever they ask for, and whatever they see
-// of each other, what is used stays within the bound. It keeps no clock, lock or connection;
-// times are passed in.
+// Whatever the load and the number of hosts, and whatever hosts see of each other, the permits used
+// stay within the bound. The package has no clock, lock or connection; times are passed in.
 package pace
--- a/pace/limit.go
+++ b/pace/limit.go
@@ -1,27 +1,27 @@
 package pace
 
 const (
-	// limitBurst is how much of a limit may start at the same moment, in seconds of it. A
-	// window of four seconds holds it beside what starts that are used late add, and stays
-	// within a tenth over the limit.
-	limitBurst = 0.1
-	// leastLimit is what an endpoint is sent that names less, in requests a second: only its
-	// answers tell that it takes more again.
-	leastLimit = 0.2
-	// leastPart and leastShare bound how many hosts give out starts at once, each of which has
-	// a burst of one at least: with less than this part of the votes, and less than this share
-	// of the limit in requests a second, none is given out.
-	leastPart  = 0.25
-	leastShare = 2.0
+	// limitBurstSeconds is how much of a limit may start at the same instant, in seconds of the
+	// limit. In a window of four seconds this burst, together with permits that are used late,
+	// stays within a tenth over the limit.
+	limitBurstSeconds = 0.1
+	// minLimit is the least rate, in requests a second, that an endpoint is sent when it names a
+	// lower limit. Only its answers tell when it takes more again.
+	minLimit = 0.2
+	// minVoteShare and minRate bound how many hosts grant permits at once, as each of them has a
+	// burst of at least one. A host with less than this share of the votes and less than this rate,
+	// in requests a second, grants none.
+	minVoteShare = 0.25
+	minRate      = 2.0
 )
 
-// LimitTerms returns the terms for a part of the limit that an endpoint names, in requests a
-// second. The limit is what is given out on average: what the endpoint may get beyond it is for
-// starts that are used late.
-func LimitTerms(perSecond, part float64) Terms {
-	rate := max(perSecond, leastLimit) * part
-	if part < leastPart && rate < leastShare {
+// LimitTerms returns the token bucket for a host's vote share of the limit that an endpoint names,
+// in requests a second. The bucket grants the limit on average; an endpoint gets more than that
+// only when permits are used late.
+func LimitTerms(perSecond, voteShare float64) Terms {
+	rate := max(perSecond, minLimit) * voteShare
+	if voteShare < minVoteShare && rate < minRate {
 		return Terms{}
 	}
-	return Terms{max(1, limitBurst*rate), rate}
+	return Terms{max(1, limitBurstSeconds*rate), rate}
 }
--- a/pace/lone.go
+++ b/pace/lone.go
@@ -6,39 +6,40 @@
 )
 
 const (
-	// lonePart is the part of its even share of a limit that a host uses which reaches none of
-	// those that give out starts. The others may go on with all of the limit until they take it
-	// for gone, and many may be cut off at once: half of it keeps the sum below one and a half.
-	lonePart = 0.5
-	// loneKept is how long after its moment such a host may use a start.
-	loneKept = time.Second
+	// isolatedPart is the part of its even share of a limit that a host uses while it reaches no
+	// host that grants permits. The others may use the whole limit until they notice that it is
+	// gone, and many hosts may be cut off at once. Half a share keeps the sum below one and a half
+	// times the limit.
+	isolatedPart = 0.5
+	// slotValidFor is how long after its due time an isolated host may use a send slot.
+	slotValidFor = time.Second
 )
 
-// Lone is what a host sends to one endpoint by itself. Starts come at moments that differ from
-// host to host and aren't saved up: of hundreds that are cut off for long each would else have
-// one ready at the same time.
+// Lone limits what a host without reachable owner sends to one endpoint. Send slots come
+// at times that differ from host to host and aren't saved up: otherwise, after a long partition,
+// each of hundreds of hosts would have one ready at the same instant.
 type Lone struct {
-	Phase float64 // in [0, 1), drawn by each host
+	Phase float64 // in [0, 1), random for each host
 
-	began time.Time
-	used  float64 // number of the last moment that was used
+	started  time.Time
+	lastSlot float64 // number of the last slot that was used
 }
 
-// Ask returns in which time from now a start may be used: now, where given, else when to ask
-// again. even is the host's even part of the fleet.
-func (l *Lone) Ask(now time.Time, perSecond, even float64) (in time.Duration, given bool) {
-	rate := max(perSecond, leastLimit) * even * lonePart
+// Ask returns how long to wait before sending: 0 if a slot was granted, else the time after
+// which to try again. even is this host's even share of the fleet, 1/hosts.
+func (l *Lone) Ask(now time.Time, perSecond, even float64) (in time.Duration, granted bool) {
+	rate := max(perSecond, minLimit) * even * isolatedPart
 	if rate <= 0 {
 		return Never, false
 	}
-	if l.began.IsZero() {
-		l.began = now
+	if l.started.IsZero() {
+		l.started = now
 	}
-	passed := now.Sub(l.began).Seconds()*rate + l.Phase
-	moment := math.Floor(passed)
-	if moment > l.used && (passed-moment)/rate < loneKept.Seconds() {
-		l.used = moment
+	elapsed := now.Sub(l.started).Seconds()*rate + l.Phase
+	slot := math.Floor(elapsed)
+	if slot > l.lastSlot && (elapsed-slot)/rate < slotValidFor.Seconds() {
+		l.lastSlot = slot
 		return 0, true
 	}
-	return time.Duration((moment+1-passed)/rate*float64(time.Second)) + 1, false
+	return time.Duration((slot+1-elapsed)/rate*float64(time.Second)) + 1, false
 }
--- a/pace/order.go
+++ b/pace/order.go
@@ -6,92 +6,95 @@
 )
 
 const (
-	// MostWait is how far ahead starts are given out.
+	// MostWait is how far ahead permits are granted.
 	MostWait = 400 * time.Millisecond
-	// rankWait is by how much less far ahead each lower priority looks.
-	rankWait = 100 * time.Millisecond
-	// LeastWait is how far ahead a start is given out to anybody: late is better than refused.
+	// waitPerPriority is by how much less far ahead each lower priority may take permits.
+	waitPerPriority = 100 * time.Millisecond
+	// LeastWait is how far ahead anyone may take a permit: starting late is better than being
+	// refused.
 	LeastWait = 100 * time.Millisecond
 )
 
-// Asker is who asks for a start.
+// Asker identifies who requests a permit.
 type Asker struct {
 	Team     uint32
-	Priority int // 0 first
+	Priority int // 0 is the most urgent
 }
 
-// Order says who goes first where more is asked than may start. Who looks further ahead than
-// others takes the starts before them and isn't refused for their sake: the more urgent, and
-// teams that have had no more than others. Some starts go to whoever asks first, so that nobody
-// is shut out where the more urgent ask for all there is. The zero value has seen nobody.
+// Order decides who goes first when more permits are requested than are available. A requester that
+// may take permits from further ahead takes them before the others and isn't refused in their
+// favour. More urgent requesters may look further ahead, and so may teams that haven't used more
+// than others. Some permits go to the first that asks, so that nobody starves while more urgent
+// requesters ask for all permits. The zero value has granted nothing.
 type Order struct {
-	given int                // starts so far
-	had   map[uint32]float64 // starts that teams had, fading
-	at    time.Time          // of had
+	granted int                // permits granted so far
+	usage   map[uint32]float64 // permits used by each team, decaying
+	at      time.Time          // time of usage
 }
 
 const (
-	// orderHalf is the time after which a start that a team had counts half.
-	orderHalf = 2 * time.Second
-	// unfair is how far above the least of all teams one's starts must be for it to give way,
-	// and orderGrain is a number of starts that is too little for that.
-	unfair     = 1.5
-	orderGrain = 2.0
-	// openEach is of how many starts one goes to whoever asks first.
-	openEach = 4
-	// mostTeams bounds how many teams are remembered.
-	mostTeams = 64
-	// forgotten is what is left of a team's starts when it is forgotten.
-	forgotten = 0.05
+	// usageHalfLife is the time after which a permit used by a team counts half.
+	usageHalfLife = 2 * time.Second
+	// unfairRatio is how many times the least usage of all teams a team's usage must exceed for it
+	// to yield. unfairSlack is a number of permits too small to count for that.
+	unfairRatio = 1.5
+	unfairSlack = 2.0
+	// openEvery: one of this many permits goes to the first that asks.
+	openEvery = 4
+	// maxTeams bounds how many teams are tracked.
+	maxTeams = 64
+	// minUsage is the usage below which a team is dropped.
+	minUsage = 0.05
 )
 
-// Ahead returns how far ahead a start may be given out to one that would wait for so long.
+// Ahead returns how far ahead a permit may be granted to a requester that would wait for so
+// long.
 func (o *Order) Ahead(now time.Time, a Asker, wait time.Duration) time.Duration {
-	o.fade(now)
-	if o.given%openEach == openEach-1 {
+	o.decay(now)
+	if o.granted%openEvery == openEvery-1 {
 		return min(wait, MostWait)
 	}
-	ahead := MostWait - time.Duration(max(0, a.Priority))*rankWait
-	if o.above(a.Team) {
-		ahead -= rankWait
+	ahead := MostWait - time.Duration(max(0, a.Priority))*waitPerPriority
+	if o.aboveShare(a.Team) {
+		ahead -= waitPerPriority
 	}
 	return min(wait, max(LeastWait, ahead))
 }
 
-// above reports whether a team has had more than its share of the starts.
-func (o *Order) above(team uint32) bool {
-	least := math.Inf(1)
-	for _, had := range o.had {
-		least = min(least, had)
+// aboveShare reports whether a team has used more than its share of the permits.
+func (o *Order) aboveShare(team uint32) bool {
+	minUsed := math.Inf(1)
+	for _, used := range o.usage {
+		minUsed = min(minUsed, used)
 	}
-	return len(o.had) > 1 && o.had[team] > unfair*least+orderGrain
+	return len(o.usage) > 1 && o.usage[team] > unfairRatio*minUsed+unfairSlack
 }
 
-// Had notes that one who asked was given a start.
+// Had records that a requester was granted a permit.
 func (o *Order) Had(now time.Time, a Asker) {
-	o.fade(now)
-	o.given++
-	if _, known := o.had[a.Team]; !known && len(o.had) >= mostTeams {
+	o.decay(now)
+	o.granted++
+	if _, known := o.usage[a.Team]; !known && len(o.usage) >= maxTeams {
 		return
 	}
-	if o.had == nil {
-		o.had = map[uint32]float64{}
+	if o.usage == nil {
+		o.usage = map[uint32]float64{}
 	}
-	o.had[a.Team]++
+	o.usage[a.Team]++
 }
 
-// fade has starts count less as time passes.
-func (o *Order) fade(now time.Time) {
+// decay lets past usage count less as time passes.
+func (o *Order) decay(now time.Time) {
 	if o.at.IsZero() {
 		o.at = now
 	}
-	left := math.Exp2(-max(0, now.Sub(o.at).Seconds()) / orderHalf.Seconds())
+	factor := math.Exp2(-max(0, now.Sub(o.at).Seconds()) / usageHalfLife.Seconds())
 	o.at = now
-	for team, had := range o.had {
-		if had *= left; had < forgotten {
-			delete(o.had, team)
+	for team, used := range o.usage {
+		if used *= factor; used < minUsage {
+			delete(o.usage, team)
 			continue
 		}
-		o.had[team] = had
+		o.usage[team] = used
 	}
 }
--- a/pace/pace.go
+++ b/pace/pace.go
@@ -2,44 +2,46 @@
 
 import "time"
 
-// Lag is how much later than it was given out for a start may be used: a call to the host
-// that gives it out may take 150 ms, and the rest is for a process that is scheduled late.
-// Who is later asks anew.
+// Lag is how long after its due time a permit may still be used. The call to the host that grants
+// it may take 150 ms; the rest covers late scheduling of the process. A caller that is later
+// requests a new permit.
 const Lag = 250 * time.Millisecond
 
-// Terms are those by which one host gives out starts at an endpoint. The zero value gives out
-// none.
+// Terms are the parameters of a Bucket. The zero value grants nothing.
 type Terms struct {
-	Burst float64 // starts at the same moment
-	Rate  float64 // starts a second that follow
+	Burst float64 // permits at the same instant
+	Rate  float64 // permits a second after that
 }
 
-// Tighter returns terms that keep to both.
-func (t Terms) Tighter(o Terms) Terms { return Terms{min(t.Burst, o.Burst), min(t.Rate, o.Rate)} }
+// Tighter returns parameters that satisfy both t and o.
+func (t Terms) Tighter(o Terms) Terms {
+	return Terms{min(t.Burst, o.Burst), min(t.Rate, o.Rate)}
+}
 
-// Pace gives out starts at one endpoint, at moments to come if need be. The zero value has
-// given out none. Of any sequence of asks no more is used in any time than the burst and what
-// the rate comes to in that time and Lag, if each start is used within Lag.
+// Pace is a token bucket that grants the start permits of one endpoint, also ahead of time. The
+// zero value has granted none. For any sequence of calls, no more permits are used in any interval
+// than the burst and what the rate yields in that interval plus Lag, provided that each permit is
+// used within Lag.
 type Pace struct {
-	level    float64   // starts that may be used now; below 0: given out for later
-	at       time.Time // of level
-	terms    Terms     // of the last ask
-	promised time.Time // until when what will be free was named to refused callers
+	level         float64   // permits available now; below 0: granted ahead
+	at            time.Time // time of level
+	terms         Terms     // of the last call
+	promisedUntil time.Time // until when future permits were announced to refused callers
 }
 
-// Ask returns in which time from now a start may be used, where that is within wait. Else
-// given is false and in is when there will be one; never, if it is Never.
-func (p *Pace) Ask(now time.Time, t Terms, wait time.Duration) (in time.Duration, given bool) {
+// Ask returns how long from now a permit may be used, if that is within wait. Otherwise granted
+// is false and in is the time until there will be a permit, or Never.
+func (p *Pace) Ask(now time.Time, t Terms, wait time.Duration) (in time.Duration, granted bool) {
 	p.advance(now, t)
-	if in = p.next(t); in > wait || in == Never {
+	if in = p.timeToNext(t); in > wait || in == Never {
 		return in, false
 	}
 	p.level--
 	return in, true
 }
 
-// next returns in which time there is a start.
-func (p *Pace) next(t Terms) time.Duration {
+// timeToNext returns the time until there is a permit.
+func (p *Pace) timeToNext(t Terms) time.Duration {
 	switch {
 	case t.Burst > 0 && p.level >= 1:
 		return 0
@@ -49,42 +51,42 @@
 	return time.Duration((1-p.level)/t.Rate*float64(time.Second)) + 1
 }
 
-// Never is the time to a start where none can be foreseen.
+// Never is returned as the time to a permit when none is foreseeable.
 const Never = time.Hour
 
-// longestPromise bounds what a refused caller is told. Callers give up in that time, so that
-// what is further ahead says little.
-const longestPromise = 8 * time.Second
+// maxRetryAfter bounds the retry time announced to a refused caller. Callers give up within that
+// time, so a later time is of no use.
+const maxRetryAfter = 8 * time.Second
 
-// Promise returns when a caller that was refused now is to come back: when there is a start
-// that wasn't named to another one. Callers that are refused together come one after the other.
+// Promise returns when a caller that was just refused should come back: when there is a permit
+// that wasn't announced to another caller. Callers that are refused together get successive times.
 func (p *Pace) Promise(now time.Time, t Terms) time.Duration {
-	in := p.next(t)
-	if in >= longestPromise {
-		return longestPromise
+	in := p.timeToNext(t)
+	if in >= maxRetryAfter {
+		return maxRetryAfter
 	}
 	at := now.Add(in)
-	if at.Before(p.promised) {
-		at = p.promised
+	if at.Before(p.promisedUntil) {
+		at = p.promisedUntil
 	}
-	if at.Sub(now) >= longestPromise {
-		return longestPromise
+	if at.Sub(now) >= maxRetryAfter {
+		return maxRetryAfter
 	}
-	p.promised = at.Add(time.Duration(float64(time.Second) / t.Rate))
+	p.promisedUntil = at.Add(time.Duration(float64(time.Second) / t.Rate))
 	return at.Sub(now)
 }
 
-// Note takes in a request that was sent while the endpoint's starts were not given out. So one
-// that turns cold is not sent a burst beside what it has just been sent. What is noted is
-// forgotten after a second.
+// Note counts a request that was sent while the endpoint needed no permits. An
+// endpoint that turns cold then isn't sent a burst on top of what it has just been sent. The charge
+// is forgotten after a second.
 func (p *Pace) Note(now time.Time, t Terms) {
 	p.advance(now, t)
 	p.level = max(p.level-1, min(p.level, -t.Rate))
 }
 
-// advance brings the level up to a moment. The first one finds it full. What was given out by
-// other terms counts for a second of the new ones at the most: what was given out ahead by a high
-// rate would else stand for minutes of a low one.
+// advance brings the level up to date; the bucket starts full. When the parameters change, permits
+// granted under the old ones count for at most a second of the new rate: permits granted ahead at a
+// high rate would otherwise block a low rate for minutes.
 func (p *Pace) advance(now time.Time, t Terms) {
 	if p.at.IsZero() {
 		p.level, p.at = t.Burst, now
--- a/pace/pace_test.go
+++ b/pace/pace_test.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-var begin = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// fullest returns the most of some moments, in order, that lie within one second.
-func fullest(used []time.Duration) (most int) {
+// maxPerSecond returns the largest number of the sorted times that lie within one second.
+func maxPerSecond(used []time.Duration) (maxCount int) {
 	for first, last := 0, 0; last < len(used); last++ {
 		for used[last]-used[first] > time.Second {
 			first++
 		}
-		most = max(most, last-first+1)
+		maxCount = max(maxCount, last-first+1)
 	}
-	return most
+	return maxCount
 }
 
-// TestColdBound names bounds of settings that are there and that are missing.
+// TestColdBound checks the bound with settings present and missing.
 func TestColdBound(t *testing.T) {
 	for _, tc := range []struct{ perSecond, overrun, tolerance, want float64 }{
 		{21, 1.5, 5, 36.5}, {21, 0, 0, 21}, {0, 1.5, 5, 0}, {0.2, 0, 0, 1}, {-1, 1.5, 5, 0},
@@ -30,41 +30,41 @@
 	}
 }
 
-// TestBears checks that a host that has had the right for long gives out what the endpoint
-// bears, and that one that asks for more is told the true time.
+// TestBears checks that a host that has had the votes for a long time grants what a cold endpoint
+// can take, and that a refused caller is told the true time of the next permit.
 func TestBears(t *testing.T) {
 	share := ColdBound(21, 1.5, 5)
 	var p Pace
-	given := 0
+	granted := 0
 	for at := time.Duration(0); at < 10*time.Second; at += time.Second / 21 {
-		if _, ok := p.Ask(begin.Add(at), ColdTerms(share), 0); ok {
-			given++
+		if _, ok := p.Ask(epoch.Add(at), ColdTerms(share), 0); ok {
+			granted++
 		}
 	}
-	if given < 210 {
-		t.Errorf("%d of 210 were given", given)
+	if granted < 210 {
+		t.Errorf("%d of 210 were granted", granted)
 	}
-	now := begin.Add(time.Minute)
+	now := epoch.Add(time.Minute)
 	for range 10 {
 		p.Ask(now, ColdTerms(share), 0)
 	}
 	in, _ := p.Ask(now, ColdTerms(share), 0)
 	if _, ok := p.Ask(now.Add(in-time.Millisecond), ColdTerms(share), 0); ok {
-		t.Error("a start was given before the time that was told")
+		t.Error("a permit was granted before the announced time")
 	}
 	if _, ok := p.Ask(now.Add(in), ColdTerms(share), 0); !ok {
-		t.Errorf("no start after %s, which was told", in)
+		t.Errorf("no permit after %s, as announced", in)
 	}
 }
 
-// TestLate has starts used as late as they may be and, from some moment on, at once, so that
-// most of them come together.
+// TestLate has permits used as late as allowed and, from some time on, at once, so that most uses
+// coincide.
 func TestLate(t *testing.T) {
 	for _, share := range []float64{1, 2, 7.3, 29.2, 500} {
 		var p Pace
 		var used []time.Duration
 		for at := time.Duration(0); at < 6*time.Second; at += time.Millisecond {
-			if _, ok := p.Ask(begin.Add(at), ColdTerms(share), 0); !ok {
+			if _, ok := p.Ask(epoch.Add(at), ColdTerms(share), 0); !ok {
 				continue
 			}
 			if at < 3*time.Second {
@@ -74,30 +74,30 @@
 			}
 		}
 		slices.Sort(used)
-		if n := fullest(used); float64(n) > share {
+		if n := maxPerSecond(used); float64(n) > share {
 			t.Errorf("%d used in one second of a share of %v", n, share)
 		}
 	}
 }
 
-// TestSmallShares checks that a share of less than one start gives out none, and that a
-// refused ask uses nothing up.
+// TestSmallShares checks that a share of less than one permit grants none, and that a refused
+// request uses up nothing.
 func TestSmallShares(t *testing.T) {
 	var p Pace
 	for _, share := range []float64{0, 0.99} {
-		if in, ok := p.Ask(begin, ColdTerms(share), time.Hour); ok || in != Never {
+		if in, ok := p.Ask(epoch, ColdTerms(share), time.Hour); ok || in != Never {
 			t.Errorf("a share of %v: %s, %v", share, in, ok)
 		}
 	}
 	var q Pace
 	for range 1000 {
-		q.Ask(begin, ColdTerms(1), 0)
+		q.Ask(epoch, ColdTerms(1), 0)
 	}
-	if in, ok := q.Ask(begin, ColdTerms(1), time.Minute); ok || in != Never {
-		t.Errorf("one start in all: %s, %v", in, ok)
+	if in, ok := q.Ask(epoch, ColdTerms(1), time.Minute); ok || in != Never {
+		t.Errorf("one permit in all: %s, %v", in, ok)
 	}
-	if in, ok := q.Ask(begin, ColdTerms(1+1e-12), time.Minute); ok || in != Never {
-		t.Errorf("hardly more than one start in all: %s, %v", in, ok)
+	if in, ok := q.Ask(epoch, ColdTerms(1+1e-12), time.Minute); ok || in != Never {
+		t.Errorf("hardly more than one permit in all: %s, %v", in, ok)
 	}
 }
 
@@ -106,13 +106,13 @@
 	share := 29.2
 	var p Pace
 	for i := range 100 {
-		p.Note(begin.Add(time.Duration(i)*10*time.Millisecond), ColdTerms(share))
+		p.Note(epoch.Add(time.Duration(i)*10*time.Millisecond), ColdTerms(share))
 	}
-	now := begin.Add(time.Second)
+	now := epoch.Add(time.Second)
 	if in, ok := p.Ask(now, ColdTerms(share), 0); ok || in > 1200*time.Millisecond {
 		t.Errorf("after 100 in a second: %s, %v", in, ok)
 	}
 	if _, ok := p.Ask(now.Add(1200*time.Millisecond), ColdTerms(share), 0); !ok {
-		t.Error("what was noted is not forgotten")
+		t.Error("the charge is not forgotten")
 	}
 }
--- a/pace/vote.go
+++ b/pace/vote.go
@@ -2,67 +2,68 @@
 
 import "time"
 
-// Who gives out the starts at an endpoint has the votes of hosts of its failure domain, and
-// gives out its part of the bound by them. Each host gives its vote to one at a time, so
-// that two who both take themselves for the owner keep below the bound together, whatever
-// they see of the others.
+// The host that grants the start permits of an endpoint collects votes from the hosts of the
+// endpoint's failure domain, and grants the share of the bound for which it has votes. Each host
+// gives its vote to one holder at a time. So two hosts that both take themselves for the owner stay
+// below the bound together, whatever they see of the others.
 
 const (
-	// Lease is for how long a vote counts from when it was asked for. It is asked for
-	// every 250 ms, so that one round may be lost whole.
+	// Lease is how long a vote counts, from the time of the request for it. Votes are requested
+	// every 250 ms, so one whole round may be lost.
 	Lease = 800 * time.Millisecond
-	// Binding is for how long a host gives its vote to nobody else: until what was given out by
-	// it is used.
+	// Binding is how long a host gives its vote to nobody else: until the permits granted by that
+	// vote have been used.
 	Binding = Lease + MostWait + Lag
-	// BindingCold is the same where the endpoint may be cold, and longer by the window that the
-	// bound of cold endpoints is counted over, as that bound has no room for two bursts in it.
+	// BindingCold is the binding time for an endpoint that may be cold. It is longer by the window
+	// over which the bound of cold endpoints is counted, as that bound has no room for two bursts
+	// within one window.
 	BindingCold = Binding + ColdWindow
 )
 
-// bindingFor returns for how long a vote for an endpoint is given to nobody else.
-func bindingFor(mayBeCold bool) time.Duration {
-	if mayBeCold {
+// bindingFor returns how long a vote for an endpoint is given to nobody else.
+func bindingFor(canBeCold bool) time.Duration {
+	if canBeCold {
 		return BindingCold
 	}
 	return Binding
 }
 
-// Holder is a process that asks for votes. One that was started anew knows nothing of
-// what its predecessor gave out, and is another.
+// Holder is a process that requests votes. A restarted process is another holder: it doesn't know
+// which permits its predecessor granted.
 type Holder struct {
 	Host        uint32
 	Incarnation uint64
 }
 
-// Votes are those that one host gives. Use NewVotes.
+// Votes tracks the votes that one host gives. Use NewVotes.
 type Votes struct {
-	began time.Time // the process, or its last waking
-	given map[uint32]vote
+	started time.Time // start of the process, or its last wake-up
+	given   map[uint32]vote
 }
 
 type vote struct {
-	to    Holder
-	until time.Time
+	holder Holder
+	until  time.Time
 }
 
-// NewVotes returns the votes of a process that begins.
-func NewVotes(now time.Time) *Votes { return &Votes{began: now, given: map[uint32]vote{}} }
+// NewVotes returns the votes of a process that starts now.
+func NewVotes(now time.Time) *Votes { return &Votes{started: now, given: map[uint32]vote{}} }
 
-// Give gives the vote for an endpoint to a holder, and reports whether it did. A process
-// that has just begun may have given it to another before, and gives none.
-func (v *Votes) Give(now time.Time, endpoint uint32, mayBeCold bool, h Holder) bool {
-	bound := bindingFor(mayBeCold)
-	if now.Sub(v.began) < bound {
+// Give gives the vote for an endpoint to a holder, and reports whether it did. A process that has
+// just started grants none, as its predecessor may have given the vote to another holder.
+func (v *Votes) Give(now time.Time, endpoint uint32, canBeCold bool, h Holder) bool {
+	binding := bindingFor(canBeCold)
+	if now.Sub(v.started) < binding {
 		return false
 	}
-	if cur, ok := v.given[endpoint]; ok && cur.to != h && now.Before(cur.until) {
+	if cur, ok := v.given[endpoint]; ok && cur.holder != h && now.Before(cur.until) {
 		return false
 	}
-	v.given[endpoint] = vote{h, now.Add(bound)}
+	v.given[endpoint] = vote{h, now.Add(binding)}
 	return true
 }
 
-// Forget drops votes that bind no longer.
+// Forget drops votes that no longer bind.
 func (v *Votes) Forget(now time.Time) {
 	for n, g := range v.given {
 		if !now.Before(g.until) {
@@ -71,39 +72,39 @@
 	}
 }
 
-// Right is the votes that a holder has for an endpoint. The zero value has none.
+// Right holds the votes that a holder was given for an endpoint. The zero value has none.
 type Right struct {
-	votes map[uint32]counted // by host
-	of    int                // hosts that may vote, by what the holder knows
+	votes  map[uint32]grantedVote // by host
+	voters int                    // hosts that may vote, as far as the holder knows
 }
 
-// counted is a vote that a holder has.
-type counted struct {
-	until time.Time
-	of    int // hosts that may vote, by what the one who gave it knows
+// grantedVote is one vote that a holder was given.
+type grantedVote struct {
+	until  time.Time
+	voters int // hosts that may vote, as far as the voter knows
 }
 
-// Ask begins a round of votes among so many hosts. What those know whose votes count still
-// holds until they answer: a holder that has met few hosts would else take their votes for
-// those of all, at each round for as long as the answers take.
-func (r *Right) Ask(of int) { r.of = of }
+// Ask begins a round of votes among this many hosts. What the hosts with valid votes know of
+// the number of voters holds until they answer. Otherwise a holder that knows few hosts would take
+// their votes for all votes, in each round until the answers arrive.
+func (r *Right) Ask(voters int) { r.voters = voters }
 
-// Take takes in the vote of a host that was asked for it at a moment; of is how many hosts
-// may vote by what that one knows.
-func (r *Right) Take(host uint32, asked time.Time, of int) {
+// Take records the vote of a host that was requested at a given time. voters is how many hosts may
+// vote as far as that host knows.
+func (r *Right) Take(host uint32, asked time.Time, voters int) {
 	if r.votes == nil {
-		r.votes = map[uint32]counted{}
+		r.votes = map[uint32]grantedVote{}
 	}
-	r.votes[host] = counted{asked.Add(Lease), of}
+	r.votes[host] = grantedVote{asked.Add(Lease), voters}
 }
 
-// Part returns the part of the hosts whose votes count.
+// Part returns the share of the voters whose votes are valid.
 func (r *Right) Part(now time.Time) float64 {
-	n, of := 0, r.of
+	n, voters := 0, r.voters
 	for host, v := range r.votes {
 		if now.Before(v.until) {
 			n++
-			of = max(of, v.of)
+			voters = max(voters, v.voters)
 		} else {
 			delete(r.votes, host)
 		}
@@ -111,5 +112,5 @@
 	if n == 0 {
 		return 0
 	}
-	return float64(n) / float64(max(n, of))
+	return float64(n) / float64(max(n, voters))
 }
--- a/pace/vote_test.go
+++ b/pace/vote_test.go
@@ -10,10 +10,10 @@
 
 var one, two = Holder{1, 1}, Holder{2, 1}
 
-// TestVotes names to whom a host gives its vote.
+// TestVotes checks to whom a host gives its vote.
 func TestVotes(t *testing.T) {
-	v := NewVotes(begin)
-	at := func(d time.Duration) time.Time { return begin.Add(d) }
+	v := NewVotes(epoch)
+	at := func(d time.Duration) time.Time { return epoch.Add(d) }
 	for _, tc := range []struct {
 		name     string
 		at       time.Duration
@@ -38,55 +38,55 @@
 	}
 }
 
-// TestRight checks what part a holder has by the votes that count.
+// TestRight checks a holder's share by its valid votes.
 func TestRight(t *testing.T) {
 	var r Right
 	r.Ask(4)
-	if p := r.Part(begin); p != 0 {
+	if p := r.Part(epoch); p != 0 {
 		t.Errorf("%v without a vote", p)
 	}
-	r.Take(1, begin, 4)
-	r.Take(2, begin.Add(100*time.Millisecond), 4)
-	if p := r.Part(begin.Add(Lease - 1)); p != 0.5 {
+	r.Take(1, epoch, 4)
+	r.Take(2, epoch.Add(100*time.Millisecond), 4)
+	if p := r.Part(epoch.Add(Lease - 1)); p != 0.5 {
 		t.Errorf("%v with two votes of four", p)
 	}
-	if p := r.Part(begin.Add(Lease)); p != 0.25 {
-		t.Errorf("%v once a vote has lapsed", p)
+	if p := r.Part(epoch.Add(Lease)); p != 0.25 {
+		t.Errorf("%v once a vote has expired", p)
 	}
-	r.Take(2, begin.Add(100*time.Millisecond), 8)
-	if p := r.Part(begin.Add(Lease)); p != 0.125 {
+	r.Take(2, epoch.Add(100*time.Millisecond), 8)
+	if p := r.Part(epoch.Add(Lease)); p != 0.125 {
 		t.Errorf("%v where another knows of eight", p)
 	}
 	r.Ask(1)
-	if p := r.Part(begin.Add(Lease)); p != 0.125 {
-		t.Errorf("%v in the next round, until the one who knows of eight answers", p)
+	if p := r.Part(epoch.Add(Lease)); p != 0.125 {
+		t.Errorf("%v in the next round, until the voter that knows of eight answers", p)
 	}
-	if p := r.Part(begin.Add(Lease + 100*time.Millisecond)); p != 0 {
-		t.Errorf("%v once all votes have lapsed", p)
+	if p := r.Part(epoch.Add(Lease + 100*time.Millisecond)); p != 0 {
+		t.Errorf("%v once all votes have expired", p)
 	}
-	r.Take(1, begin.Add(Lease), 1)
-	if p := r.Part(begin.Add(Lease + 100*time.Millisecond)); p != 1 {
-		t.Errorf("%v once the word of eight has lapsed", p)
+	r.Take(1, epoch.Add(Lease), 1)
+	if p := r.Part(epoch.Add(Lease + 100*time.Millisecond)); p != 1 {
+		t.Errorf("%v once the report of eight voters has expired", p)
 	}
 }
 
-// holder is a host that gives out starts in TestAnySecond.
+// holder is a host that grants permits in TestAnySecond.
 type holder struct {
 	Holder
-	pace  Pace
-	right Right
+	bucket Pace
+	votes  Right
 }
 
-// TestAnySecond has several hosts ask for the votes of some others at any moments, reach
-// any of them, die, be started anew, and give out starts for any sequence of asks, waits and
-// delays. Whatever is used within one second stays below the bound.
+// TestAnySecond has several hosts request the votes of voters at random times, with any of them
+// reachable or not, dying, restarting, and granting permits for random sequences of requests, waits
+// and delays. The permits used within any one second must stay below the bound.
 func TestAnySecond(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		bound := ColdBound(rapid.Float64Range(1, 60).Draw(t, "bears"), rapid.Float64Range(0, 3).Draw(t, "overrun"),
 			rapid.Float64Range(0, 20).Draw(t, "tolerance"))
 		voters := make([]*Votes, rapid.IntRange(1, 6).Draw(t, "voters"))
 		for i := range voters {
-			voters[i] = NewVotes(begin.Add(-time.Hour))
+			voters[i] = NewVotes(epoch.Add(-time.Hour))
 		}
 		holders := make([]*holder, rapid.IntRange(1, 4).Draw(t, "holders"))
 		for i := range holders {
@@ -94,32 +94,32 @@
 		}
 		var used []time.Duration
 		for at, end := time.Duration(0), 8*time.Second; at < end; at += 10 * time.Millisecond {
-			now := begin.Add(at)
+			now := epoch.Add(at)
 			h := rapid.SampledFrom(holders).Draw(t, "who")
 			switch n := rapid.IntRange(0, 99).Draw(t, "what"); {
-			case n < 20: // a round, of which some answers are lost and some late
-				h.right.Ask(len(voters))
+			case n < 20: // a round of votes; some answers are lost, some late
+				h.votes.Ask(len(voters))
 				for i, v := range voters {
 					asked := now.Add(-time.Duration(rapid.Int64Range(0, int64(150*time.Millisecond)).Draw(t, "under way")))
 					if rapid.Bool().Draw(t, "reached") && v.Give(now, 7, true, h.Holder) {
-						h.right.Take(uint32(i), asked, len(voters))
+						h.votes.Take(uint32(i), asked, len(voters))
 					}
 				}
-			case n == 20: // a voter starts anew
+			case n == 20: // a voter restarts
 				voters[rapid.IntRange(0, len(voters)-1).Draw(t, "voter")] = NewVotes(now)
-			case n == 21: // a holder starts anew
+			case n == 21: // a holder restarts
 				*h = holder{Holder: Holder{h.Host, h.Incarnation + 1}}
 			default:
 				for range rapid.IntRange(0, 8).Draw(t, "asks") {
-					in, given := h.pace.Ask(now, ColdTerms(bound*h.right.Part(now)), MostWait)
-					if given {
+					in, granted := h.bucket.Ask(now, ColdTerms(bound*h.votes.Part(now)), MostWait)
+					if granted {
 						used = append(used, at+in+time.Duration(rapid.Int64Range(0, int64(Lag)).Draw(t, "late")))
 					}
 				}
 			}
 		}
 		slices.Sort(used)
-		if n := fullest(used); float64(n) > bound {
+		if n := maxPerSecond(used); float64(n) > bound {
 			t.Fatalf("%d used in one second, %v allowed", n, bound)
 		}
 	})
--- a/pace/word.go
+++ b/pace/word.go
@@ -5,19 +5,20 @@
 	"time"
 )
 
-// Word is what an answer of an endpoint said of how many requests a second the endpoint takes,
-// from all hosts together. The zero value: nothing was heard.
+// Word is what an answer of an endpoint says about how many requests a second the endpoint takes
+// from all hosts together. The zero value means that nothing was observed.
 type Word struct {
-	Named     bool    // it named a limit; else it came without one
+	Named     bool    // the answer named a limit
 	PerSecond float64 // requests
-	// At orders the words of an endpoint, by package clock. A limit is named when the head of
-	// its answer arrives. An answer without one takes back only what had been named when its
-	// call was sent: one that was under way as the endpoint began to name a limit says nothing.
+	// At orders the reports of an endpoint, by package clock. The time of a named limit is when the
+	// head of the answer arrives. The time of an answer without a limit is when its call was sent:
+	// a call that was in flight when the endpoint began to name a limit says nothing about that
+	// limit.
 	At   time.Time
 	Born int64 // start of the endpoint's process; 0: unknown
 }
 
-// Told is a word as hosts tell it each other, whose clocks differ.
+// Told is a Report as hosts send it to each other. Their clocks differ, so it carries an age.
 type Told struct {
 	Heard     bool
 	Named     bool
@@ -26,12 +27,12 @@
 	Born      int64
 }
 
-// Tell returns the word for another host.
+// Tell returns the report in the form sent to another host.
 func (w Word) Tell(now time.Time) Told {
 	return Told{!w.At.IsZero(), w.Named, w.PerSecond, now.Sub(w.At).Milliseconds(), w.Born}
 }
 
-// Word returns what was told, as heard now.
+// Word returns the report with its time on this host's clock.
 func (t Told) Word(now time.Time) Word {
 	if !t.Heard {
 		return Word{}
@@ -39,106 +40,108 @@
 	return Word{t.Named, t.PerSecond, now.Add(-time.Duration(t.AgeMillis) * time.Millisecond), t.Born}
 }
 
-// Change is what a word changes in what is believed.
+// Change says how a report changes the known limit.
 type Change uint8
 
-// The changes.
+// Kinds of change.
 const (
 	ChangeNone  Change = iota
-	ChangeBegan        // the endpoint names a limit, and named none before
-	ChangeValue        // it names another one
-	ChangeEnded        // it names none any more
+	ChangeBegan        // the endpoint names a limit and named none before
+	ChangeValue        // it names another limit
+	ChangeEnded        // it no longer names a limit
 )
 
-// String returns the change in words, as operators see it.
+// String returns the change as operators see it.
 func (c Change) String() string {
 	return [...]string{"none", "endpoint names a limit", "endpoint names another limit", "endpoint names no limit any more"}[c]
 }
 
-// Belief is what is believed of an endpoint: its newest word. The zero value has heard none.
+// Belief holds the newest report of an endpoint's limit. The zero value has observed none.
 type Belief struct {
-	// Since is when this host first heard of a limit that is named still, by package clock.
+	// Since is when this host first learned of the limit that is still named, by package clock.
 	Since time.Time
 
-	word   Word
-	lifted time.Time // when this host heard that the limit is over
-	before float64   // the limit until then
+	report    Word
+	endedAt   time.Time // when this host learned that the limit has ended
+	lastLimit float64   // the limit until then
 }
 
 const (
-	// freshFor is how long a named limit makes its endpoint the dearer choice. Later a request
-	// may find out whether it still holds.
-	freshFor = 2 * time.Second
-	// rampFor is how long an endpoint whose limit is over is still sent no more than rises by
-	// so much: all hosts hear of the end at once, and it has less in progress than the others.
-	rampFor    = 750 * time.Millisecond
-	rampDouble = 125 * time.Millisecond
-	// rampLeast is where the rise begins at the least, in requests a second.
-	rampLeast = 4.0
+	// penaltyFor is how long a report of a limit makes its endpoint the more expensive choice.
+	// After that a request may find out whether the limit still holds.
+	penaltyFor = 2 * time.Second
+	// After a limit ends, the endpoint is sent for rampDuration no more than an allowance that doubles
+	// every rampDouble: all hosts learn of the end at once, and the endpoint has less in progress
+	// than the others.
+	rampDuration = 750 * time.Millisecond
+	rampDouble   = 125 * time.Millisecond
+	// minRampRate is the least rate at which the ramp begins, in requests a second.
+	minRampRate = 4.0
 )
 
-// Hear takes a word in and returns what it changes. An earlier process of the endpoint has
-// nothing to say for a later one; of the words of one process the newest holds, whoever heard it.
+// Hear applies a report and returns what it changes. A report of an earlier process of the
+// endpoint says nothing about a later one; of the reports of one process the newest holds,
+// whichever host observed it.
 func (b *Belief) Hear(now time.Time, w Word) Change {
-	if w.Born != 0 && w.Born < b.word.Born {
-		return ChangeNone // where the start isn't told, it may be the same process
+	if w.Born != 0 && w.Born < b.report.Born {
+		return ChangeNone // where no start time is reported, it may be the same process
 	}
 	b.Restarted(w.Born)
-	if !w.At.After(b.word.At) {
+	if !w.At.After(b.report.At) {
 		return ChangeNone
 	}
-	before := b.word
-	b.word = w
+	previous := b.report
+	b.report = w
 	switch {
-	case w.Named && !before.Named:
+	case w.Named && !previous.Named:
 		b.Since = now
 		return ChangeBegan
-	case w.Named && w.PerSecond != before.PerSecond:
+	case w.Named && w.PerSecond != previous.PerSecond:
 		return ChangeValue
-	case !w.Named && before.Named:
-		b.lifted, b.before = now, before.PerSecond
+	case !w.Named && previous.Named:
+		b.endedAt, b.lastLimit = now, previous.PerSecond
 		return ChangeEnded
 	}
 	return ChangeNone
 }
 
-// Restarted takes in that the endpoint's process is of a start: of a later one nothing has been
-// heard yet.
+// Restarted records the start time of the endpoint's current process. If that process is later
+// than the one of the newest report, nothing is known of it yet.
 func (b *Belief) Restarted(born int64) {
-	if born > b.word.Born && b.word.Born != 0 {
+	if born > b.report.Born && b.report.Born != 0 {
 		*b = Belief{}
 	}
 }
 
-// Word returns the newest word.
-func (b *Belief) Word() Word { return b.word }
+// Word returns the newest report.
+func (b *Belief) Word() Word { return b.report }
 
-// Limit returns how many requests a second the endpoint may be sent now by all hosts together,
-// where that is bounded.
+// Limit returns how many requests a second all hosts together may send the endpoint now, if that is
+// bounded.
 func (b *Belief) Limit(now time.Time) (perSecond float64, bounded bool) {
-	if b.word.Named {
-		return b.word.PerSecond, true
+	if b.report.Named {
+		return b.report.PerSecond, true
 	}
-	since := now.Sub(b.lifted)
-	if b.lifted.IsZero() || since >= rampFor {
+	since := now.Sub(b.endedAt)
+	if b.endedAt.IsZero() || since >= rampDuration {
 		return 0, false
 	}
-	return max(b.before, rampLeast) * math.Exp2(since.Seconds()/rampDouble.Seconds()), true
+	return max(b.lastLimit, minRampRate) * math.Exp2(since.Seconds()/rampDouble.Seconds()), true
 }
 
-// Changed reports whether a limit has just begun to be named, or is just over.
+// Changed reports whether a limit has just begun or just ended.
 func (b *Belief) Changed(now time.Time) bool {
 	at := b.Since
-	if !b.word.Named {
-		at = b.lifted
+	if !b.report.Named {
+		at = b.endedAt
 	}
-	return !at.IsZero() && now.Sub(at) < rampFor
+	return !at.IsZero() && now.Sub(at) < rampDuration
 }
 
-// Fresh returns for how long still the endpoint is the dearer choice.
+// Fresh returns for how much longer the endpoint is the more expensive choice.
 func (b *Belief) Fresh(now time.Time) time.Duration {
-	if !b.word.Named {
+	if !b.report.Named {
 		return 0
 	}
-	return max(0, freshFor-now.Sub(b.word.At))
+	return max(0, penaltyFor-now.Sub(b.report.At))
 }
--- a/pace/word_test.go
+++ b/pace/word_test.go
@@ -8,14 +8,14 @@
 	"pgregory.net/rapid"
 )
 
-// TestWords has an endpoint's answers come in any order at two hosts that tell each other in any
-// order: both believe the newest word in the end, of the newest process.
+// TestWords has reports of an endpoint arrive in any order at two hosts that exchange them in any
+// order. Both must end with the newest report of the newest process.
 func TestWords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var words []Word
 		for range rapid.IntRange(1, 8).Draw(t, "words") {
 			words = append(words, Word{Named: rapid.Bool().Draw(t, "named"), PerSecond: float64(rapid.IntRange(0, 3).Draw(t, "limit")),
-				At: begin.Add(time.Duration(rapid.IntRange(1, 5000).Draw(t, "at")) * time.Millisecond), Born: int64(rapid.IntRange(1, 2).Draw(t, "born"))})
+				At: epoch.Add(time.Duration(rapid.IntRange(1, 5000).Draw(t, "at")) * time.Millisecond), Born: int64(rapid.IntRange(1, 2).Draw(t, "born"))})
 		}
 		newest := words[0]
 		for _, w := range words[1:] {
@@ -24,7 +24,7 @@
 			}
 		}
 		var hosts [2]Belief
-		now := begin.Add(time.Minute)
+		now := epoch.Add(time.Minute)
 		for i := range hosts {
 			for _, w := range rapid.Permutation(words).Draw(t, "order") {
 				hosts[i].Hear(now, w)
@@ -35,17 +35,18 @@
 			}
 		}
 		for i := range hosts {
-			// Of words of one moment the one that came first holds.
+			// Of two reports with the same time the first one to arrive holds.
 			if w := hosts[i].Word(); w.Born != newest.Born || !w.At.Equal(newest.At) {
-				t.Fatalf("host %d believes %+v, want %+v", i, w, newest)
+				t.Fatalf("host %d has %+v, want %+v", i, w, newest)
 			}
 		}
 	})
 }
 
-// TestBelief follows an endpoint that names a limit, another, and none, and one that starts again.
+// TestBelief follows an endpoint that names a limit, then another, then none, and one that
+// restarts.
 func TestBelief(t *testing.T) {
-	at := func(ms int) time.Time { return begin.Add(time.Duration(ms) * time.Millisecond) }
+	at := func(ms int) time.Time { return epoch.Add(time.Duration(ms) * time.Millisecond) }
 	var b Belief
 	for _, tc := range []struct {
 		name    string
@@ -57,18 +58,18 @@
 	}{
 		{"nothing named", 0, Word{At: at(-50), Born: 1}, ChangeNone, 0, false},
 		{"named", 100, Word{Named: true, PerSecond: 5, At: at(100), Born: 1}, ChangeBegan, 5, true},
-		{"an answer that was under way", 120, Word{At: at(90), Born: 1}, ChangeNone, 5, true},
-		{"an older name", 130, Word{Named: true, PerSecond: 9, At: at(95), Born: 1}, ChangeNone, 5, true},
+		{"an answer in flight", 120, Word{At: at(90), Born: 1}, ChangeNone, 5, true},
+		{"an older limit", 130, Word{Named: true, PerSecond: 9, At: at(95), Born: 1}, ChangeNone, 5, true},
 		{"the same", 200, Word{Named: true, PerSecond: 5, At: at(200), Born: 1}, ChangeNone, 5, true},
 		{"another one", 300, Word{Named: true, PerSecond: 2, At: at(300), Born: 1}, ChangeValue, 2, true},
 		{"none, sent before", 340, Word{At: at(290), Born: 1}, ChangeNone, 2, true},
-		{"none, sent since", 400, Word{At: at(310), Born: 1}, ChangeEnded, rampLeast, true},
-		{"a name that came before", 410, Word{Named: true, PerSecond: 3, At: at(305), Born: 1}, ChangeNone, math.NaN(), true},
+		{"none, sent since", 400, Word{At: at(310), Born: 1}, ChangeEnded, minRampRate, true},
+		{"a limit named earlier", 410, Word{Named: true, PerSecond: 3, At: at(305), Born: 1}, ChangeNone, math.NaN(), true},
 		{"none again", 1300, Word{At: at(1250), Born: 1}, ChangeNone, 0, false},
 		{"named again", 1400, Word{Named: true, PerSecond: 1, At: at(1400), Born: 1}, ChangeBegan, 1, true},
-		{"a process whose start isn't told", 1500, Word{At: at(1450)}, ChangeEnded, rampLeast, true},
+		{"a process without a start time", 1500, Word{At: at(1450)}, ChangeEnded, minRampRate, true},
 		{"named by the same", 1550, Word{Named: true, PerSecond: 1, At: at(1550)}, ChangeBegan, 1, true},
-		{"a process of a start", 1560, Word{Named: true, PerSecond: 1, At: at(1560), Born: 1}, ChangeNone, 1, true},
+		{"a process with a start time", 1560, Word{Named: true, PerSecond: 1, At: at(1560), Born: 1}, ChangeNone, 1, true},
 		{"a later process", 1600, Word{At: at(1550), Born: 2}, ChangeNone, 0, false},
 		{"the process before", 1700, Word{Named: true, PerSecond: 1, At: at(1700), Born: 1}, ChangeNone, 0, false},
 	} {
@@ -82,26 +83,26 @@
 	}
 	b = Belief{}
 	b.Hear(at(0), Word{Named: true, PerSecond: 5, At: at(0)})
-	if f := b.Fresh(at(500)); f != freshFor-500*time.Millisecond {
-		t.Errorf("the dearer choice for %v", f)
+	if f := b.Fresh(at(500)); f != penaltyFor-500*time.Millisecond {
+		t.Errorf("penalty left: %v", f)
 	}
 	if f := b.Fresh(at(60_000)); f != 0 {
-		t.Errorf("the dearer choice for %v a minute later", f)
+		t.Errorf("penalty left a minute later: %v", f)
 	}
 	if b.Restarted(7); b.Word().Named != true {
-		t.Error("forgotten for a process whose start was not known before")
+		t.Error("report dropped when the process start became known")
 	}
 }
 
-// TestRamp checks that what an endpoint is sent after its limit is over rises without a jump
-// and is unbounded within a second.
+// TestRamp checks that the rate after the end of a limit rises without a jump and is unbounded
+// within a second.
 func TestRamp(t *testing.T) {
 	var b Belief
-	b.Hear(begin, Word{Named: true, PerSecond: 5.7, At: begin})
-	b.Hear(begin.Add(time.Second), Word{At: begin.Add(900 * time.Millisecond)})
+	b.Hear(epoch, Word{Named: true, PerSecond: 5.7, At: epoch})
+	b.Hear(epoch.Add(time.Second), Word{At: epoch.Add(900 * time.Millisecond)})
 	before, p, used := 5.7, Pace{}, 0
-	for at := time.Second; at < time.Second+rampFor; at += time.Millisecond {
-		now := begin.Add(at)
+	for at := time.Second; at < time.Second+rampDuration; at += time.Millisecond {
+		now := epoch.Add(at)
 		limit, bounded := b.Limit(now)
 		if !bounded || limit < before || limit > 1.02*before {
 			t.Fatalf("%v, %v %v after the end, %v just before", limit, bounded, at-time.Second, before)
@@ -114,7 +115,7 @@
 	if used < 20 || used > 120 {
 		t.Errorf("%d used as it rose", used)
 	}
-	if _, bounded := b.Limit(begin.Add(2 * time.Second)); bounded {
+	if _, bounded := b.Limit(epoch.Add(2 * time.Second)); bounded {
 		t.Error("bounded a second after the end")
 	}
 }
