--- a/pace/ways_test.go
+++ b/pace/ways_test.go
@@ -21,7 +21,7 @@
 	modelDomains   = 4 // the endpoint is in the first one
 )
 
-// scenario is a scenario: the requests for the endpoint and the faults of the hosts.
+// scenario describes the requests for the endpoint and the faults of the hosts.
 type scenario struct {
 	name      string
 	perSecond func(at time.Duration) float64    // requests a second, over all hosts
@@ -159,7 +159,7 @@
 	return f.hosts[i].bucket.Ask(epoch.Add(at), ColdTerms(share), MostWait)
 }
 
-// strategy is a strategy: it decides whether and when a request at a host may be sent.
+// strategy decides whether and when a request at a host may be sent.
 type strategy struct {
 	name    string
 	round   func(f *fleet, i int, at time.Duration)
--- a/quota/account_test.go
+++ b/quota/account_test.go
@@ -8,141 +8,139 @@
 	"pgregory.net/rapid"
 )
 
-// alone is what a holder has in reach that is the only one.
-var alone = Reach{Part: 1, Settled: true}
+// soleHolder is the reachability of the only holder.
+var soleHolder = Reach{Part: 1, Settled: true}
 
-// TestAccount plays one holder's account by hand: what is asked of it, and what becomes
-// of that.
+// TestAccount checks what one holder's account admits in sequences of requests.
 func TestAccount(t *testing.T) {
 	limit := Limit{Rate: 100, Burst: 200}
 	cases := []struct {
 		name  string
 		reach Reach
-		play  func(a *Account, at func(s float64) time.Time) float64 // what is let in
+		play  func(a *Account, at func(s float64) time.Time) float64 // returns what is admitted
 		want  float64
 	}{
-		{"the burst, and one request beyond it", alone, func(a *Account, at func(float64) time.Time) float64 {
-			return ask(a, at(0), 30, 90, alone)
+		{"the burst, and one request beyond it", soleHolder, func(a *Account, at func(float64) time.Time) float64 {
+			return admit(a, at(0), 30, 90, soleHolder)
 		}, 270},
-		{"nothing more until the debt is paid", alone, func(a *Account, at func(float64) time.Time) float64 {
-			ask(a, at(0), 30, 90, alone)
-			return ask(a, at(0.6), 1, 90, alone)
+		{"nothing more until the debt is paid", soleHolder, func(a *Account, at func(float64) time.Time) float64 {
+			admit(a, at(0), 30, 90, soleHolder)
+			return admit(a, at(0.6), 1, 90, soleHolder)
 		}, 0},
-		{"then as much as the rate", alone, func(a *Account, at func(float64) time.Time) float64 {
-			ask(a, at(0), 30, 90, alone)
-			return ask(a, at(0.8), 1, 90, alone)
+		{"then as much as the rate", soleHolder, func(a *Account, at func(float64) time.Time) float64 {
+			admit(a, at(0), 30, 90, soleHolder)
+			return admit(a, at(0.8), 1, 90, soleHolder)
 		}, 90},
-		{"what didn't run is given back", alone, func(a *Account, at func(float64) time.Time) float64 {
-			ask(a, at(0), 30, 90, alone)
-			a.Return(at(0), 90, alone)
-			return ask(a, at(0), 1, 90, alone)
+		{"what didn't run is refunded", soleHolder, func(a *Account, at func(float64) time.Time) float64 {
+			admit(a, at(0), 30, 90, soleHolder)
+			a.Refund(at(0), 90, soleHolder)
+			return admit(a, at(0), 1, 90, soleHolder)
 		}, 90},
 		{"a new account where others may have held the limit", Reach{Part: 1}, func(a *Account, at func(float64) time.Time) float64 {
-			return ask(a, at(0), 30, 10, Reach{Part: 1})
+			return admit(a, at(0), 30, 10, Reach{Part: 1})
 		}, 50},
-		{"what another domain was told to have let in", Reach{Part: 1, Domains: []string{"b"}, Settled: true}, func(a *Account, at func(float64) time.Time) float64 {
+		{"what another domain reported as admitted", Reach{Part: 1, Domains: []string{"b"}, Settled: true}, func(a *Account, at func(float64) time.Time) float64 {
 			r := Reach{Part: 1, Domains: []string{"b"}, Settled: true}
-			a.Hear(at(0), "b", Word{Holder: 9}, r)
+			a.Observe(at(0), "b", Word{Holder: 9}, r)
 			a.Advance(at(2), r)
-			a.Hear(at(2), "b", Word{Holder: 9, Used: 150}, r)
-			return ask(a, at(2), 30, 10, r)
+			a.Observe(at(2), "b", Word{Holder: 9, Used: 150}, r)
+			return admit(a, at(2), 30, 10, r)
 		}, 50},
-		{"a tenth of the hosts in reach", Reach{Part: 0.1}, func(a *Account, at func(float64) time.Time) float64 {
+		{"a tenth of the hosts reachable", Reach{Part: 0.1}, func(a *Account, at func(float64) time.Time) float64 {
 			r := Reach{Part: 0.1}
-			ask(a, at(0), 30, 10, r)
+			admit(a, at(0), 30, 10, r)
 			sum := 0.0
 			for i := range 100 {
-				sum += ask(a, at(1+float64(i)/10), 1, 10, r)
+				sum += admit(a, at(1+float64(i)/10), 1, 10, r)
 			}
 			return sum
 		}, 110}, // 11 a second
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			a := Open(epoch, 1, limit, tc.reach)
+			a := OpenAccount(epoch, 1, limit, tc.reach)
 			got := tc.play(a, func(s float64) time.Time { return epoch.Add(seconds(s)) })
 			if got < tc.want-10 || got > tc.want+10 {
-				t.Errorf("%v let in, want %v", got, tc.want)
+				t.Errorf("%v admitted, want %v", got, tc.want)
 			}
 		})
 	}
 }
 
-// Advance brings the account up to date without asking for anything.
+// Advance brings the account up to date without a request.
 func (a *Account) Advance(now time.Time, r Reach) { a.advance(now, r) }
 
-// ask asks k times for n, and returns what was let in.
-func ask(a *Account, now time.Time, k int, n float64, r Reach) (in float64) {
+// admit makes k requests of n units each, and returns how many units were admitted.
+func admit(a *Account, now time.Time, k int, n float64, r Reach) (in float64) {
 	for range k {
-		if a.Ask(now, n, r).OK {
+		if a.Admit(now, n, r).OK {
 			in += n
 		}
 	}
 	return in
 }
 
-// TestPromise checks that callers that are refused together are told one time after
-// the other, at each of which one of them fits.
+// TestPromise checks that callers refused together get successive retry times, and that a request
+// fits at each of them.
 func TestPromise(t *testing.T) {
-	a := Open(epoch, 1, Limit{Rate: 100, Burst: 100}, alone)
-	ask(a, epoch, 10, 50, alone)
-	var told []time.Duration
+	a := OpenAccount(epoch, 1, Limit{Rate: 100, Burst: 100}, soleHolder)
+	admit(a, epoch, 10, 50, soleHolder)
+	var announced []time.Duration
 	for i := range 5 {
-		got := a.Ask(epoch, 50, alone)
-		if got.OK || i > 0 && got.After <= told[i-1] {
-			t.Fatalf("refusal %d: %+v, want a time after %v", i, got, told)
+		got := a.Admit(epoch, 50, soleHolder)
+		if got.OK || i > 0 && got.After <= announced[i-1] {
+			t.Fatalf("refusal %d: %+v, want a time after %v", i, got, announced)
 		}
-		told = append(told, got.After)
+		announced = append(announced, got.After)
 	}
-	for _, after := range told {
-		if !a.Ask(epoch.Add(after+time.Millisecond), 50, alone).OK {
+	for _, after := range announced {
+		if !a.Admit(epoch.Add(after+time.Millisecond), 50, soleHolder).OK {
 			t.Errorf("after %v a request of the size doesn't fit", after)
 		}
 	}
 }
 
-// TestAccountBound has one holder asked at random, for what runs, is given back or is
-// never asked again, while a limit changes. In no window is more let in than the limit
-// and the largest request allow.
+// TestAccountBound makes random requests to one holder, some of which are refunded. In no window
+// may more be admitted than the limit and the largest request allow.
 func TestAccountBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := Limit{Rate: rapid.Float64Range(10, 1000).Draw(t, "rate")}
 		limit.Burst = limit.Rate * rapid.Float64Range(0, 3).Draw(t, "burst")
 		largest := limit.Rate * rapid.Float64Range(0.01, 2).Draw(t, "largest")
-		a := Open(epoch, 1, limit, alone)
+		a := OpenAccount(epoch, 1, limit, soleHolder)
 		type in struct {
 			at time.Duration
 			n  float64
 		}
-		var list []in
+		var admittedList []in
 		at := time.Duration(0)
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			at += time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond
 			n := largest * rapid.Float64Range(0.01, 1).Draw(t, "n")
-			if !a.Ask(epoch.Add(at), n, alone).OK {
+			if !a.Admit(epoch.Add(at), n, soleHolder).OK {
 				continue
 			}
 			if rapid.IntRange(0, 9).Draw(t, "returned") == 0 {
-				a.Return(epoch.Add(at), n, alone)
+				a.Refund(epoch.Add(at), n, soleHolder)
 				continue
 			}
-			list = append(list, in{at, n})
+			admittedList = append(admittedList, in{at, n})
 		}
-		for i := range list {
+		for i := range admittedList {
 			sum := 0.0
-			for _, b := range list[i:] {
+			for _, b := range admittedList[i:] {
 				sum += b.n
-				span := (b.at - list[i].at).Seconds()
-				if most := limit.Rate*span + max(limit.Burst, leastBurst*limit.Rate) + largest; sum > most*1.0001 {
-					t.Fatalf("%.1f let in within %.3f s, at most %.1f may be", sum, span, most)
+				span := (b.at - admittedList[i].at).Seconds()
+				if allowed := limit.Rate*span + max(limit.Burst, minBurstSeconds*limit.Rate) + largest; sum > allowed*1.0001 {
+					t.Fatalf("%.1f admitted within %.3f s, want at most %.1f", sum, span, allowed)
 				}
 			}
 		}
 	})
 }
 
-// TestLone checks what hosts let in together that reach no holder: about what they let
-// in before, and the part of the limit that was free.
+// TestLone checks how much hosts without a reachable holder admit together: about what they
+// admitted before, plus the part of the limit that was free.
 func TestLone(t *testing.T) {
 	cases := []struct {
 		use         float64 // of the limit, before
@@ -153,41 +151,41 @@
 		t.Run(fmt.Sprint(tc.use), func(t *testing.T) {
 			limit, sum := Limit{Rate: 1000, Burst: 1000}, 0.0
 			for range 10 {
-				l := new(Lone)
+				l := new(IsolatedLimiter)
 				for i := range 1000 {
-					l.Passed(epoch.Add(time.Duration(i)*10*time.Millisecond), tc.before/100, Answer{OK: true, Use: tc.use})
+					l.ObserveAnswer(epoch.Add(time.Duration(i)*10*time.Millisecond), tc.before/100, Answer{OK: true, Use: tc.use})
 				}
 				for i := range 1000 {
-					if l.Ask(epoch.Add(10*time.Second+time.Duration(i)*10*time.Millisecond), 5, limit, 0.1).OK {
+					if l.Admit(epoch.Add(10*time.Second+time.Duration(i)*10*time.Millisecond), 5, limit, 0.1).OK {
 						sum += 5
 					}
 				}
 			}
 			if got := sum / 11; got < tc.least || got > tc.most { // ten seconds, and the burst
-				t.Errorf("%.0f a second let in, want %.0f to %.0f", got, tc.least, tc.most)
+				t.Errorf("%.0f a second admitted, want %.0f to %.0f", got, tc.least, tc.most)
 			}
 		})
 	}
 }
 
-// TestCutOff states when a holder counts as cut off from all others, by whether another
-// failure domain was heard of and how long ago another host of its own asked it.
+// TestCutOff checks when a holder counts as cut off from all others: it depends on whether another
+// failure domain has reported, and on how long ago another host of its own domain made a request.
 func TestCutOff(t *testing.T) {
 	r := Reach{Part: 1, Domains: []string{"b", "c"}}
 	team := Team{Number: 7, Limit: Limit{Rate: 100, Burst: 100}}
 	cases := []struct {
 		name  string
-		heard []string // other domains
-		miss  []string // of them later
-		asked float64  // s ago by another host; 0: never
+		heard []string // other domains that reported
+		miss  []string // of these, unreachable later
+		asked float64  // seconds since another host's request; 0: none
 		want  bool
 	}{
 		{"all is well", []string{"b", "c"}, nil, 0.1, false},
-		{"none was ever heard", nil, nil, 0, false},
+		{"none ever reported", nil, nil, 0, false},
 		{"one domain is cut off", []string{"b", "c"}, []string{"b"}, 0, false},
 		{"all other domains are cut off", []string{"b", "c"}, []string{"b", "c"}, 0.1, false},
-		{"nobody is in reach", []string{"b", "c"}, []string{"b", "c"}, 2, true},
-		{"nobody ever asked", []string{"b", "c"}, []string{"b", "c"}, 0, true},
+		{"nobody is reachable", []string{"b", "c"}, []string{"b", "c"}, 2, true},
+		{"nobody ever made a request", []string{"b", "c"}, []string{"b", "c"}, 0, true},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
--- a/quota/accounts.go
+++ b/quota/accounts.go
@@ -7,52 +7,53 @@
 	"time"
 )
 
-// Accounts are those of one host: of the teams whose limits it holds in its failure
-// domain, and what it lets in by itself where no holder is in reach.
+// Accounts holds the accounts of one host: of the teams whose limits it holds in its failure
+// domain, and of what it admits by itself while no holder is reachable.
 type Accounts struct {
-	mu   sync.Mutex
-	id   uint64 // of the next account
-	open map[uint32]*held
-	lone map[uint32]*Lone
+	mu       sync.Mutex
+	id       uint64 // of the next account
+	open     map[uint32]*heldAccount
+	isolated map[uint32]*IsolatedLimiter
 }
 
-// held is an account with when it was last asked.
-type held struct {
+// heldAccount is an account with the times of its last requests.
+type heldAccount struct {
 	*Account
-	asked   time.Time
-	byOther time.Time // when another host last asked it
+	lastRequest     time.Time
+	lastPeerRequest time.Time // last request from another host
 }
 
-// keptIdle is how long an account stays open that is asked for nothing. Its level is at
-// the burst long before.
-const keptIdle = time.Minute
+// idleTimeout is how long an account without requests stays open. Its level reaches the burst long
+// before that.
+const idleTimeout = time.Minute
 
-// Team is a team by its number, with its limit.
+// Team is a team's number and limit.
 type Team struct {
 	Number uint32
 	Limit  Limit
 }
 
-// NewAccounts returns no accounts. The salt is another for each process of a fleet.
+// NewAccounts returns an empty set of accounts. The salt must differ for each process of a fleet.
 func NewAccounts(salt uint64) *Accounts {
 	s := &Accounts{id: salt}
 	s.Drop()
 	return s
 }
 
-// Drop forgets all. After a pause of the process others have held the limits.
+// Drop discards all accounts. It is called after a pause of the process, as others have held the
+// limits meanwhile.
 func (s *Accounts) Drop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.open, s.lone = map[uint32]*held{}, map[uint32]*Lone{}
+	s.open, s.isolated = map[uint32]*heldAccount{}, map[uint32]*IsolatedLimiter{}
 }
 
 // account returns the account of a team; the caller holds the lock.
-func (s *Accounts) account(now time.Time, t Team, r Reach) *held {
+func (s *Accounts) account(now time.Time, t Team, r Reach) *heldAccount {
 	h := s.open[t.Number]
 	if h == nil {
 		s.id++
-		h = &held{Account: Open(now, s.id, t.Limit, r), asked: now}
+		h = &heldAccount{Account: OpenAccount(now, s.id, t.Limit, r), lastRequest: now}
 		s.open[t.Number] = h
 	}
 	h.SetLimit(now, t.Limit, r)
@@ -66,118 +67,118 @@
 	return s.open[team] != nil
 }
 
-// Ask asks the account of a team that this host holds to let n in.
+// Ask asks a team's account on this host to admit n units.
 func (s *Accounts) Ask(now time.Time, t Team, n float64, r Reach) Answer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	h := s.account(now, t, r)
-	h.asked = now
-	return h.Account.Ask(now, n, r)
+	h.lastRequest = now
+	return h.Account.Admit(now, n, r)
 }
 
-// Asked notes that another host asks the account of a team.
+// Asked records that another host requests units from a team's account.
 func (s *Accounts) Asked(now time.Time, team uint32) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if h := s.open[team]; h != nil {
-		h.byOther = now
+		h.lastPeerRequest = now
 	}
 }
 
-// aloneAfter is how long a holder that hears no other failure domain may be asked by no
-// other host of its own until it counts as cut off. Where all are cut off, a team is
-// asked for more often than that by several hosts, or this one's own part is the whole.
-const aloneAfter = 500 * time.Millisecond
+// isolatedAfter is how long a holder that reaches no other failure domain may get no requests from
+// other hosts of its own domain until it counts as cut off. If in fact all domains are cut off from
+// each other, either several hosts request units of a team more often than that, or this host's own
+// share is the whole.
+const isolatedAfter = 500 * time.Millisecond
 
-// CutOff reports whether a team's account is one of a host that seems to be cut off from
-// all others, also those of its own failure domain, which it will notice only by their
-// silence, seconds later. Such a holder let its own callers use the limit of the whole
-// domain meanwhile.
+// CutOff reports whether this host seems to be cut off from all others, also from those of its own
+// failure domain, whose loss it notices only by their silence, seconds later. Until then such a
+// holder would let its own callers use the limit of the whole domain.
 func (s *Accounts) CutOff(now time.Time, team uint32) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	h := s.open[team]
-	return h != nil && h.hearsNone() && now.Sub(h.byOther) > aloneAfter
+	return h != nil && h.lostAllOthers() && now.Sub(h.lastPeerRequest) > isolatedAfter
 }
 
-// Return gives back to an account what was let in and didn't run.
+// Return refunds the n units of an admitted request that didn't run.
 func (s *Accounts) Return(now time.Time, t Team, n float64, r Reach) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.account(now, t, r).Account.Return(now, n, r)
+	s.account(now, t, r).Account.Refund(now, n, r)
 }
 
-// Due returns what should be told of now, by team, and closes idle accounts.
+// Due returns the reports that are due now, by team, and closes idle accounts.
 func (s *Accounts) Due(now time.Time) map[uint32]Word {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var due map[uint32]Word
 	for team, h := range s.open {
-		if now.Sub(h.asked) > keptIdle {
+		if now.Sub(h.lastRequest) > idleTimeout {
 			delete(s.open, team)
 			continue
 		}
-		if !h.Due(now) {
+		if !h.ReportDue(now) {
 			continue
 		}
 		if due == nil {
 			due = map[uint32]Word{}
 		}
-		due[team] = h.Tell(now)
-		h.Told(now, due[team])
+		due[team] = h.Report(now)
+		h.NoteReported(now, due[team])
 	}
 	return due
 }
 
-// Hear takes in what another failure domain's holder tells of a team, and returns what
-// is known here.
+// Hear applies a report of another failure domain's holder of a team, and returns this host's own
+// report.
 func (s *Accounts) Hear(now time.Time, t Team, domain string, w Word, r Reach) Word {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	h := s.account(now, t, r)
-	h.Account.Hear(now, domain, w, r)
-	return h.Tell(now)
+	h.Account.Observe(now, domain, w, r)
+	return h.Report(now)
 }
 
-// Miss notes that another failure domain's holder of a team didn't answer.
+// Miss records that another failure domain's holder of a team didn't answer.
 func (s *Accounts) Miss(now time.Time, t Team, domain string, r Reach) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.account(now, t, r).Account.Miss(now, domain, r)
+	s.account(now, t, r).Account.NoteUnreachable(now, domain, r)
 }
 
-// Passed notes what a holder answered to a request of n.
+// Passed records a holder's answer to a request of n units.
 func (s *Accounts) Passed(now time.Time, team uint32, n float64, a Answer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.alone(team).Passed(now, n, a)
+	s.isolatedLimiter(team).ObserveAnswer(now, n, a)
 }
 
-// Alone lets a request of n in, or doesn't, where no holder is in reach. even is this
-// host's even part of the fleet.
+// Alone decides on a request of n units while no holder is reachable. even is this host's even
+// share of the fleet, 1/hosts.
 func (s *Accounts) Alone(now time.Time, t Team, n, even float64) Answer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.alone(t.Number).Ask(now, n, t.Limit, even)
+	return s.isolatedLimiter(t.Number).Admit(now, n, t.Limit, even)
 }
 
-func (s *Accounts) alone(team uint32) *Lone {
-	l := s.lone[team]
+func (s *Accounts) isolatedLimiter(team uint32) *IsolatedLimiter {
+	l := s.isolated[team]
 	if l == nil {
-		l = new(Lone)
-		s.lone[team] = l
+		l = new(IsolatedLimiter)
+		s.isolated[team] = l
 	}
 	return l
 }
 
-// Status is an account as operators see it. Figures are in units of the limit.
+// Status is an account as operators see it, in units of the limit.
 type Status struct {
 	Team   uint32
 	Limit  Limit
-	Level  float64 // free; 0 and below: requests are refused
-	Pace   float64 // let in a second in this failure domain
-	Asked  float64 // asked a second in this failure domain
-	Use    float64 // part of the limit that is let in everywhere
+	Level  float64 // free; at 0 and below requests are refused
+	Pace   float64 // admitted a second in this failure domain
+	Asked  float64 // requested a second in this failure domain
+	Use    float64 // part of the limit that is admitted in all domains
 	Missed []string
 }
 
@@ -187,9 +188,9 @@
 	defer s.mu.Unlock()
 	out := make([]Status, 0, len(s.open))
 	for team, h := range s.open {
-		row := Status{Team: team, Limit: h.limit, Level: h.level, Pace: h.letIn.at(now), Asked: h.Account.asked.at(now), Use: h.use(now)}
+		row := Status{Team: team, Limit: h.limit, Level: h.level, Pace: h.admitted.at(now), Asked: h.Account.demand.at(now), Use: h.use(now)}
 		for domain, o := range h.others {
-			if o.missed {
+			if o.unreachable {
 				row.Missed = append(row.Missed, domain)
 			}
 		}
--- a/quota/meter.go
+++ b/quota/meter.go
@@ -5,12 +5,11 @@
 	"time"
 )
 
-// meterSpan is the span over which a meter averages. It is twice as long as the time
-// in which holders tell each other, and a quarter of the windows in which limits
-// are judged.
+// meterSpan is the time over which a meter averages. It is twice the interval at which holders
+// report to each other, and a quarter of the window in which limits are evaluated.
 const meterSpan = 2 * time.Second
 
-// meter measures a rate, in units a second, with older units weighing less.
+// meter measures a rate, in units a second, by an exponentially weighted average.
 type meter struct {
 	rate float64
 	last time.Time
