--- a/queue/calls.go
+++ b/queue/calls.go
@@ -7,91 +7,89 @@
 	"github.com/embercove/embercove/request"
 )
 
-// called is a request that was sent to the engine.
-type called struct {
-	number   uint64 // in the order of calls
-	tokens   int
-	stretch  forecast.Stretch // of the engine's work that ends with it
-	work     time.Duration
-	promised int
-	since    time.Time
-	ends     time.Time // forecast
-	quiet    bool      // taken for read, though nobody told
+// sentRequest is a request that was sent to the engine.
+type sentRequest struct {
+	number       uint64 // in the order of sending
+	tokens       int
+	interval     forecast.Stretch // the uninterrupted work of the engine that ends with this request
+	work         time.Duration
+	cachedTokens int
+	sentAt       time.Time
+	forecastEnd  time.Time // forecast of when the engine is through with it
+	presumedDone bool      // counts as prefilled, though no end was reported
 }
 
-// Done notes that the engine has read a request in a time, or was told to
-// forget it. An end that comes late or early tells when the engine will be
-// through with what it was sent after it.
+// Done records that the engine has prefilled a request in a given time, or was told to drop it. An
+// end that comes late or early shows when the engine will be through with what it was sent after
+// that request.
 func (q *Queue) Done(now time.Time, a request.Attempt, finished bool, took time.Duration) {
-	c, ok := q.out[a]
+	c, ok := q.inFlight[a]
 	if !ok {
 		return
 	}
-	delete(q.out, a)
+	delete(q.inFlight, a)
 	left := time.Duration(0)
-	for _, o := range q.out {
+	for _, o := range q.inFlight {
 		switch {
 		case finished && o.number < c.number:
-			o.quiet = true // it was read before this one
-		case finished || !o.quiet:
+			o.presumedDone = true // it was prefilled before this one
+		case finished || !o.presumedDone:
 			left += o.work
 		}
 	}
 	if !finished {
-		if t := now.Add(left); t.Before(q.busy) {
-			q.busy = t
+		if t := now.Add(left); t.Before(q.busyUntil) {
+			q.busyUntil = t
 		}
 		return
 	}
 	if took > 0 {
 		q.learn(c, took)
 	}
-	q.busy = now.Add(left - q.Pace.Lag())
+	q.busyUntil = now.Add(left - q.Pace.Lag())
 }
 
-// learn takes in how long a call took, and begins a new stretch of work at its
-// end.
-func (q *Queue) learn(c *called, took time.Duration) {
-	end := c.since.Add(took)
-	q.Pace.Learn(c.tokens, took, c.stretch, end)
+// learn updates the pace with the duration of a call, and begins a new interval of work at its end.
+func (q *Queue) learn(c *sentRequest, took time.Duration) {
+	end := c.sentAt.Add(took)
+	q.Pace.Learn(c.tokens, took, c.interval, end)
 	restart := func(s *forecast.Stretch) {
-		if s.From.Equal(c.stretch.From) {
-			*s = forecast.Stretch{From: end, Told: true, Tokens: s.Tokens - c.stretch.Tokens}
+		if s.From.Equal(c.interval.From) {
+			*s = forecast.Stretch{From: end, Told: true, Tokens: s.Tokens - c.interval.Tokens}
 		}
 	}
-	for _, o := range q.out {
+	for _, o := range q.inFlight {
 		if o.number > c.number {
-			restart(&o.stretch)
+			restart(&o.interval)
 		}
 	}
-	restart(&q.stretch)
+	restart(&q.interval)
 }
 
-// quiet marks called requests whose ordinary end was not told, and forgets
-// them for good after a while.
-func (q *Queue) quiet(now time.Time) {
-	for a, c := range q.out {
-		switch past := now.Sub(c.ends); {
-		case past > forgetAfter+2*c.work:
-			delete(q.out, a)
-		case past > quietAfter:
-			c.quiet = true
+// presumeDone marks requests as prefilled whose end was not reported in time, and later drops them.
+func (q *Queue) presumeDone(now time.Time) {
+	for a, c := range q.inFlight {
+		switch overdue := now.Sub(c.forecastEnd); {
+		case overdue > forgetAfter+2*c.work:
+			delete(q.inFlight, a)
+		case overdue > presumeDoneAfter:
+			c.presumedDone = true
 		}
 	}
 }
 
-// forgetAfter is how long past its forecast an end can still be told.
+// forgetAfter is how long past its forecast an end can still be reported.
 const forgetAfter = 5 * time.Second
 
-// quietAfter is how long after its forecast end a request counts as read.
-const quietAfter = 150 * time.Millisecond
+// presumeDoneAfter is how long after its forecast end a request counts as prefilled.
+const presumeDoneAfter = 150 * time.Millisecond
 
-// Promised returns how many tokens of a called request were said to be cached, and
-// whether the request is known.
+// Promised returns how many tokens of a request in flight were expected to be cached, and whether
+// the request is known.
 func (q *Queue) Promised(a request.Attempt) (tokens int, known bool) {
-	c, known := q.out[a]
+	c, known := q.inFlight[a]
 	if !known {
 		return 0, false
 	}
-	return c.promised, true
+	return c.cachedTokens, true
 }
--- a/queue/queue.go
+++ b/queue/queue.go
@@ -1,7 +1,7 @@
-// Package queue orders the requests that wait for one prefill engine: which of them
-// is admitted, which gives way, and when each is called.
+// Package queue orders the requests that wait for one prefill engine: which of them is admitted,
+// which is evicted for another, and when each is sent.
 //
-// It takes no locks and reads no clock; whoever keeps a Queue guards it.
+// It takes no locks and reads no clock; the owner of a Queue guards it.
 package queue
 
 import (
@@ -19,54 +19,53 @@
 	Attempt  request.Attempt
 	Team     uint32
 	Priority int
-	Tokens   int           // to read
-	Work     time.Duration // forecast of how long the engine is kept by them
-	Lag      time.Duration // forecast of what the answer takes besides
-	Promised int           // tokens that the cache feed said are cached
+	Tokens   int           // to prefill
+	Work     time.Duration // forecast of how long they occupy the engine
+	Lag      time.Duration // forecast of the additional time until the answer
+	Promised int           // tokens that are cached according to the cache feed
 	Latest   time.Time     // latest start that keeps the target
-	NotYet   time.Time     // reading should not end before
+	NotYet   time.Time     // prefill should not end before
 	Came     time.Time
-	Answer   chan *result.Error // gets nil when called, or the refusal
+	Answer   chan *result.Error // gets nil when the request is sent, or the refusal
 }
 
-// Queue orders the requests of one prefill engine. Requests wait here and
-// not in the engine, so that a refused one never ran, a late arrival of
-// higher rank goes first, and a caller that leaves costs nothing. It is not
-// safe for concurrent use.
+// Queue orders the requests of one prefill engine. Requests wait here and not in the engine, so
+// that a refused one never ran, a late arrival of higher priority goes first, and a caller that
+// disconnects costs nothing. It is not safe for concurrent use.
 //
-// The order is by priority, then by share, then by latest start. A newcomer is admitted
-// only if everyone admitted keeps their latest start; if not, it may push out
-// requests of lower rank or of teams above their fair share.
+// The order is by priority, then by the team's use, then by latest start. A newcomer is admitted
+// only if all admitted requests can still start by their latest start. If not, it may evict
+// requests of lower priority or of teams above their fair share.
 type Queue struct {
-	waiting []*Item
-	out     map[request.Attempt]*called
-	calls   uint64
-	busy    time.Time        // when the engine will have read what was sent
-	stretch forecast.Stretch // up to what was sent last
-	Pace    forecast.Reading // learned of the engine
-	share   *shares
+	waiting   []*Item
+	inFlight  map[request.Attempt]*sentRequest
+	sent      uint64
+	busyUntil time.Time        // when the engine will have prefilled what was sent
+	interval  forecast.Stretch // uninterrupted work up to what was sent last
+	Pace      forecast.Reading // the learned speed of the engine
+	shares    *teamShares
 }
 
-// New returns the queue of an engine that is configured to read so many tokens a
-// second. weight returns the configured weight of a team.
+// New returns the queue of an engine that is configured to prefill tokensPerSecond. weight returns
+// the configured weight of a team.
 func New(weight func(team uint32) float64, tokensPerSecond float64) *Queue {
-	return &Queue{out: map[request.Attempt]*called{}, share: newShares(weight), Pace: forecast.NewReading(tokensPerSecond)}
+	return &Queue{inFlight: map[request.Attempt]*sentRequest{}, shares: newTeamShares(weight), Pace: forecast.NewReading(tokensPerSecond)}
 }
 
-// Lookahead is how much work is sent ahead of the engine, so that it never
-// waits for the owner.
+// Lookahead is how much work is sent ahead to the engine, so that it never idles while waiting for
+// the owner.
 const Lookahead = 60 * time.Millisecond
 
-// sorted returns the items in the order in which they are called: by rank,
-// then those of teams that are not above their share, then by latest start.
+// sorted sorts the items into the order in which they are sent: by priority, then teams not above
+// their share before the others, then by latest start.
 func (q *Queue) sorted(now time.Time, items []*Item) []*Item {
-	least := math.Inf(1)
+	minUse := math.Inf(1)
 	for _, it := range items {
-		least = min(least, q.share.use(now, it.Team))
+		minUse = min(minUse, q.shares.use(now, it.Team))
 	}
 	above := map[uint32]bool{}
 	for _, it := range items {
-		above[it.Team] = q.share.use(now, it.Team) > unfair*least+shareGrain
+		above[it.Team] = q.shares.use(now, it.Team) > unfairRatio*minUse+shareSlack
 	}
 	sort.SliceStable(items, func(i, j int) bool {
 		a, b := items[i], items[j]
@@ -81,22 +80,21 @@
 	return items
 }
 
-// shareGrain is a use of the engine, in seconds, that is too little to put
-// one team behind another.
-const shareGrain = 0.5
+// shareSlack is a use of the engine, in seconds, that is too small to put one team behind another.
+const shareSlack = 0.5
 
-// free returns when the engine can begin with something new.
-func (q *Queue) free(now time.Time) time.Time {
-	if q.busy.After(now) {
-		return q.busy
+// freeAt returns when the engine can begin with something new.
+func (q *Queue) freeAt(now time.Time) time.Time {
+	if q.busyUntil.After(now) {
+		return q.busyUntil
 	}
 	return now
 }
 
-// feasible reports whether every item keeps its latest start, and when the
-// last of them would be read.
+// feasible reports whether every item can start by its latest start, and when the last of them
+// would be prefilled.
 func (q *Queue) feasible(now time.Time, items []*Item) (bool, time.Time) {
-	t := q.free(now)
+	t := q.freeAt(now)
 	ok := true
 	for _, it := range items {
 		if t.After(it.Latest) {
@@ -107,39 +105,39 @@
 	return ok, t
 }
 
-// Admit adds an item or refuses it. Items that it pushes out are returned;
-// they are refused as not run by the caller.
-func (q *Queue) Admit(now time.Time, it *Item) (pushed []*Item, refusal *result.Error) {
-	trial := q.sorted(now, append(append([]*Item(nil), q.waiting...), it))
-	ok, end := q.feasible(now, trial)
+// Admit adds an item or refuses it. It returns the items evicted for it; the caller refuses them as
+// not run.
+func (q *Queue) Admit(now time.Time, it *Item) (evicted []*Item, refusal *result.Error) {
+	candidates := q.sorted(now, append(append([]*Item(nil), q.waiting...), it))
+	ok, end := q.feasible(now, candidates)
 	for !ok {
-		k := q.victim(now, trial, it)
+		k := q.victim(now, candidates, it)
 		if k < 0 {
 			late := max(end.Sub(it.Latest.Add(it.Work)), 100*time.Millisecond)
-			return nil, result.Errorf(result.TooLate, "the prompt could be read %s too late", late.Round(time.Millisecond)).After(late)
+			return nil, result.Errorf(result.TooLate, "prefill would end %s too late", late.Round(time.Millisecond)).After(late)
 		}
-		pushed = append(pushed, trial[k])
-		trial = append(trial[:k], trial[k+1:]...)
-		ok, end = q.feasible(now, trial)
+		evicted = append(evicted, candidates[k])
+		candidates = append(candidates[:k], candidates[k+1:]...)
+		ok, end = q.feasible(now, candidates)
 	}
-	q.waiting = trial
-	q.share.wait(it.Team, it.Work)
-	for _, p := range pushed {
-		q.share.wait(p.Team, -p.Work)
+	q.waiting = candidates
+	q.shares.addWaiting(it.Team, it.Work)
+	for _, p := range evicted {
+		q.shares.addWaiting(p.Team, -p.Work)
 	}
-	return pushed, nil
+	return evicted, nil
 }
 
-// unfair is how far above the newcomer's a team's use must be for it to give
-// way.
-const unfair = 1.5
+// unfairRatio is how many times the newcomer's use a team's use must exceed for its items to be
+// evicted.
+const unfairRatio = 1.5
 
-// victim returns which item gives way to the newcomer: of lower rank first,
-// else of the team that is furthest above its share. -1: none.
-func (q *Queue) victim(now time.Time, trial []*Item, newcomer *Item) int {
-	best, most := -1, 0.0
-	own := q.share.use(now, newcomer.Team)
-	for k, it := range trial {
+// victim returns the index of the item to evict for the newcomer: one of the lowest priority below
+// the newcomer's, else one of the team furthest above its share, or -1.
+func (q *Queue) victim(now time.Time, candidates []*Item, newcomer *Item) int {
+	best, maxOver := -1, 0.0
+	own := q.shares.use(now, newcomer.Team)
+	for k, it := range candidates {
 		if it == newcomer {
 			continue
 		}
@@ -147,23 +145,23 @@
 		if it.Priority > newcomer.Priority {
 			over = 1e6 * float64(it.Priority-newcomer.Priority)
 		} else if it.Team != newcomer.Team && it.Priority == newcomer.Priority {
-			if use := q.share.use(now, it.Team); use > unfair*own {
+			if use := q.shares.use(now, it.Team); use > unfairRatio*own {
 				over = use
 			}
 		}
-		if over > 0 && over >= most {
-			best, most = k, over
+		if over > 0 && over >= maxOver {
+			best, maxOver = k, over
 		}
 	}
 	return best
 }
 
-// Next takes the items that should be sent now. Items that can no longer be
-// in time are returned apart; they are refused as not run.
+// Next removes and returns the items to send now. Items that can no longer be in time are returned
+// separately; they are refused as not run.
 func (q *Queue) Next(now time.Time) (send, late []*Item) {
-	q.quiet(now)
+	q.presumeDone(now)
 	for _, it := range append([]*Item(nil), q.waiting...) {
-		if q.free(now).After(it.Latest.Add(graceLate)) {
+		if q.freeAt(now).After(it.Latest.Add(lateGrace)) {
 			late = append(late, it)
 			q.Take(it)
 		}
@@ -171,50 +169,50 @@
 	if len(q.waiting) > 1 {
 		q.waiting = q.sorted(now, q.waiting)
 	}
-	for q.free(now).Sub(now) <= Lookahead {
-		it := q.first(q.free(now))
+	for q.freeAt(now).Sub(now) <= Lookahead {
+		it := q.nextReady(q.freeAt(now))
 		if it == nil {
 			break
 		}
 		q.Take(it)
 		send = append(send, it)
-		if !q.busy.After(now) {
-			q.stretch = forecast.Stretch{From: now}
+		if !q.busyUntil.After(now) {
+			q.interval = forecast.Stretch{From: now}
 		}
-		q.stretch.Tokens += it.Tokens
-		q.calls++
-		q.busy = q.free(now).Add(it.Work)
-		q.out[it.Attempt] = &called{number: q.calls, tokens: it.Tokens, stretch: q.stretch, work: it.Work, promised: it.Promised,
-			since: now, ends: q.busy.Add(it.Lag)}
-		q.share.add(now, it.Team, it.Work)
+		q.interval.Tokens += it.Tokens
+		q.sent++
+		q.busyUntil = q.freeAt(now).Add(it.Work)
+		q.inFlight[it.Attempt] = &sentRequest{number: q.sent, tokens: it.Tokens, interval: q.interval, work: it.Work, cachedTokens: it.Promised,
+			sentAt: now, forecastEnd: q.busyUntil.Add(it.Lag)}
+		q.shares.addUse(now, it.Team, it.Work)
 	}
 	return send, late
 }
 
-// first returns the first item that may begin at a moment, or nil. An item
-// that waits for decode memory lets others pass.
-func (q *Queue) first(at time.Time) *Item {
+// nextReady returns the first item that may begin at a time, or nil. An item that waits for decode
+// memory lets others pass.
+func (q *Queue) nextReady(at time.Time) *Item {
 	for _, it := range q.waiting {
-		if !it.begins().After(at) {
+		if !it.earliestStart().After(at) {
 			return it
 		}
 	}
 	return nil
 }
 
-// begins returns the first moment at which the item may begin.
-func (it *Item) begins() time.Time { return it.NotYet.Add(-it.Work) }
+// earliestStart returns the first time at which the item may begin.
+func (it *Item) earliestStart() time.Time { return it.NotYet.Add(-it.Work) }
 
-// graceLate is how much later than its latest start an admitted request is
-// still sent: its forecast was a little off, and it has waited already.
-const graceLate = 100 * time.Millisecond
+// lateGrace is how much later than its latest start an admitted request is still sent: its forecast
+// was slightly off, and it has already waited.
+const lateGrace = 100 * time.Millisecond
 
-// Take removes an item that waits.
+// Take removes a waiting item.
 func (q *Queue) Take(it *Item) {
 	for i, w := range q.waiting {
 		if w == it {
 			q.waiting = append(q.waiting[:i:i], q.waiting[i+1:]...)
-			q.share.wait(it.Team, -it.Work)
+			q.shares.addWaiting(it.Team, -it.Work)
 			return
 		}
 	}
@@ -231,18 +229,18 @@
 	return nil
 }
 
-// Due returns when next has something to do again; zero: not by itself.
+// Due returns when Next has something to do again; zero if nothing waits.
 func (q *Queue) Due(now time.Time) time.Time {
 	if len(q.waiting) == 0 {
 		return time.Time{}
 	}
-	soonest := q.waiting[0].begins()
+	soonest := q.waiting[0].earliestStart()
 	for _, it := range q.waiting[1:] {
-		if b := it.begins(); b.Before(soonest) {
+		if b := it.earliestStart(); b.Before(soonest) {
 			soonest = b
 		}
 	}
-	if t := q.free(now).Add(-Lookahead); t.After(soonest) {
+	if t := q.freeAt(now).Add(-Lookahead); t.After(soonest) {
 		return t
 	}
 	return soonest
@@ -250,26 +248,26 @@
 
 // Backlog returns the work ahead of a newcomer.
 func (q *Queue) Backlog(now time.Time) time.Duration {
-	d := q.free(now).Sub(now)
+	d := q.freeAt(now).Sub(now)
 	for _, it := range q.waiting {
 		d += it.Work
 	}
 	return d
 }
 
-// Len returns how many requests wait.
+// Len returns the number of waiting requests.
 func (q *Queue) Len() int { return len(q.waiting) }
 
-// Clear takes all requests that wait and returns them. Their teams have no longer used
-// what they waited for: else newcomers of others would push theirs out for good.
+// Clear removes and returns all waiting requests. The work they waited for no longer counts as
+// their teams' use: otherwise newcomers of other teams would keep evicting theirs.
 func (q *Queue) Clear() []*Item {
 	out := q.waiting
 	q.waiting = nil
 	for _, it := range out {
-		q.share.wait(it.Team, -it.Work)
+		q.shares.addWaiting(it.Team, -it.Work)
 	}
 	return out
 }
 
-// Forget drops what is known of teams without any use worth counting.
-func (q *Queue) Forget(now time.Time) { q.share.forget(now) }
+// Forget drops the records of teams with negligible use.
+func (q *Queue) Forget(now time.Time) { q.shares.dropIdle(now) }
--- a/queue/queue_test.go
+++ b/queue/queue_test.go
@@ -15,7 +15,7 @@
 
 func at(ms int) time.Time { return epoch.Add(time.Duration(ms) * time.Millisecond) }
 
-// newItem returns an item of a team with work and slack in ms.
+// newItem returns an item of a team, with work and slack in ms.
 func newItem(n int, team uint32, priority, now, work, slack int) *Item {
 	return &Item{Attempt: request.Attempt{Number: uint32(n)}, Team: team, Priority: priority, Work: time.Duration(work) * time.Millisecond,
 		Latest: at(now + slack - work), NotYet: at(now), Answer: make(chan *result.Error, 1)}
@@ -23,40 +23,40 @@
 
 func evenWeights(uint32) float64 { return 1 }
 
-// TestQueue plays admissions, one a line: team, priority, work, slack. The
-// answer names the items admitted in the order in which they are called, then
-// those refused and those pushed out.
+// TestQueue checks sequences of admissions, each given as team, priority, work and slack. The
+// expected text names the admitted items in the order in which they are sent, then the refused and
+// the evicted ones.
 func TestQueue(t *testing.T) {
 	cases := []struct {
 		name  string
 		items [][4]int // team, priority, work, slack
 		want  string
 	}{
-		{"room for all", [][4]int{{1, 3, 100, 1000}, {1, 3, 100, 1000}}, "called 1 2"},
+		{"capacity for all", [][4]int{{1, 3, 100, 1000}, {1, 3, 100, 1000}}, "called 1 2"},
 		{"the third is too late", [][4]int{{1, 3, 400, 1000}, {1, 3, 400, 1000}, {1, 3, 400, 1000}}, "called 1 2 refused 3"},
 		{"a short one still fits", [][4]int{{1, 3, 400, 1000}, {1, 3, 400, 1000}, {1, 3, 400, 1000}, {1, 3, 20, 1000}}, "called 1 2 4 refused 3"},
 		{"the one with less slack goes first", [][4]int{{1, 3, 100, 2000}, {1, 3, 100, 500}}, "called 2 1"},
-		{"higher rank goes first", [][4]int{{1, 3, 100, 1000}, {1, 1, 100, 1000}}, "called 2 1"},
-		{"higher rank pushes out", [][4]int{{1, 3, 400, 500}, {1, 1, 400, 500}}, "called 2 pushed 1"},
-		{"equal rank doesn't", [][4]int{{1, 3, 400, 500}, {1, 3, 400, 500}}, "called 1 refused 2"},
-		{"a team above its share gives way", [][4]int{{1, 3, 300, 1000}, {1, 3, 300, 1000}, {1, 3, 300, 1000}, {2, 3, 300, 1000}}, "called 4 1 2 pushed 3"},
-		{"but not to one above its own", [][4]int{{1, 3, 500, 1000}, {2, 3, 500, 1000}, {1, 3, 300, 1000}}, "called 1 2 refused 3"},
+		{"higher priority goes first", [][4]int{{1, 3, 100, 1000}, {1, 1, 100, 1000}}, "called 2 1"},
+		{"higher priority evicts", [][4]int{{1, 3, 400, 500}, {1, 1, 400, 500}}, "called 2 evicted 1"},
+		{"equal priority doesn't evict", [][4]int{{1, 3, 400, 500}, {1, 3, 400, 500}}, "called 1 refused 2"},
+		{"a team above its share is evicted", [][4]int{{1, 3, 300, 1000}, {1, 3, 300, 1000}, {1, 3, 300, 1000}, {2, 3, 300, 1000}}, "called 4 1 2 evicted 3"},
+		{"but not for a team above its own share", [][4]int{{1, 3, 500, 1000}, {2, 3, 500, 1000}, {1, 3, 300, 1000}}, "called 1 2 refused 3"},
 		{"never in time", [][4]int{{1, 3, 900, 500}}, "called refused 1"},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			q := New(evenWeights, config.DefaultTokensPerSecond)
-			var refused, pushed []string
+			var refused, evicted []string
 			for i, it := range tc.items {
 				p, err := q.Admit(at(0), newItem(i+1, uint32(it[0]), it[1], 0, it[2], it[3]))
 				if err != nil {
 					refused = append(refused, fmt.Sprint(i+1))
 					if err.RetryAfter <= 0 {
-						t.Errorf("item %d: no time to come back", i+1)
+						t.Errorf("item %d: no retry time", i+1)
 					}
 				}
 				for _, x := range p {
-					pushed = append(pushed, fmt.Sprint(x.Attempt.Number))
+					evicted = append(evicted, fmt.Sprint(x.Attempt.Number))
 				}
 			}
 			got := []string{"called"}
@@ -72,8 +72,8 @@
 			if len(refused) > 0 {
 				got = append(got, "refused "+strings.Join(refused, " "))
 			}
-			if len(pushed) > 0 {
-				got = append(got, "pushed "+strings.Join(pushed, " "))
+			if len(evicted) > 0 {
+				got = append(got, "evicted "+strings.Join(evicted, " "))
 			}
 			if s := strings.Join(got, " "); s != tc.want {
 				t.Errorf("got %q, want %q", s, tc.want)
@@ -82,8 +82,8 @@
 	}
 }
 
-// TestQueueKeepsEngineBusy checks that work is sent ahead by the lookahead and
-// no more, and that the engine's own pace moves the forecast.
+// TestQueueKeepsEngineBusy checks that work is sent ahead by the lookahead and no more, and that
+// the engine's actual pace shifts the forecast.
 func TestQueueKeepsEngineBusy(t *testing.T) {
 	q := New(evenWeights, config.DefaultTokensPerSecond)
 	for i := range 3 {
@@ -103,8 +103,8 @@
 	}
 }
 
-// TestQueueNotYet checks that a request that waits for decode memory lets
-// others pass and is called when its time comes.
+// TestQueueNotYet checks that a request that waits for decode memory lets others pass and is sent
+// at its own time.
 func TestQueueNotYet(t *testing.T) {
 	q := New(evenWeights, config.DefaultTokensPerSecond)
 	later := newItem(1, 1, 3, 0, 50, 2000)
@@ -126,20 +126,20 @@
 	}
 }
 
-// TestShares checks that a team at ten times its share doesn't push another
-// past its targets: the light team's requests are all admitted.
+// TestShares checks that a team at ten times its share doesn't make another miss its targets: all
+// requests of the light team are admitted.
 func TestShares(t *testing.T) {
 	q := New(evenWeights, config.DefaultTokensPerSecond)
 	heavy, light, lost := 0, 0, 0
 	for now := 0; now < 20_000; now += 20 {
 		q.Next(at(now))
-		for i := range 2 { // the heavy team asks for 5 times the engine
+		for i := range 2 { // the heavy team requests 5 times the engine's capacity
 			n := now*10 + i
 			if _, err := q.Admit(at(now), newItem(n, 1, 3, now, 50, 1000)); err == nil {
 				heavy++
 			}
 		}
-		if now%200 != 0 { // the light team asks for a quarter of it
+		if now%200 != 0 { // the light team requests a quarter of it
 			continue
 		}
 		if _, err := q.Admit(at(now), newItem(now*10+9, 2, 3, now, 50, 1000)); err != nil {
@@ -168,8 +168,8 @@
 	}
 }
 
-// TestClear has requests be cleared off a queue that goes on, and checks that what their
-// team waited for no longer counts as its use: another newcomer doesn't push it out.
+// TestClear checks that work cleared off a queue no longer counts as its team's use. Otherwise a
+// newcomer of another team would evict the team's later requests.
 func TestClear(t *testing.T) {
 	q := New(evenWeights, config.DefaultTokensPerSecond)
 	for n := range 4 {
@@ -180,15 +180,15 @@
 	if n := len(q.Clear()); n != 4 || q.Len() != 0 || q.Backlog(at(0)) != 0 {
 		t.Fatalf("%d cleared, %d left", n, q.Len())
 	}
-	if use := q.share.use(at(0), 1); use > 1e-9 {
-		t.Errorf("a team of which nothing waits and nothing was sent has used %g s", use)
+	if use := q.shares.use(at(0), 1); use > 1e-9 {
+		t.Errorf("a team with nothing waiting and nothing sent has used %g s", use)
 	}
 	for n, team := range []uint32{1, 2} {
 		if _, err := q.Admit(at(0), newItem(n+5, team, 3, 0, 200, 400)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if pushed, err := q.Admit(at(0), newItem(7, 2, 3, 0, 200, 400)); len(pushed) != 0 || err == nil {
-		t.Errorf("a team that waits for as much pushes %d out (%v)", len(pushed), err)
+	if evicted, err := q.Admit(at(0), newItem(7, 2, 3, 0, 200, 400)); len(evicted) != 0 || err == nil {
+		t.Errorf("a team with as much waiting work evicts %d (%v)", len(evicted), err)
 	}
 }
--- a/queue/shares.go
+++ b/queue/shares.go
@@ -5,14 +5,13 @@
 	"time"
 )
 
-// shareMemory is how long past use of an engine counts against a team.
-const shareMemory = 10 * time.Second
+// shareDecay is the time constant with which a team's past use of an engine decays.
+const shareDecay = 10 * time.Second
 
-// shares accounts for each team's use of one engine: what waits, and what
-// was called lately, fading with shareMemory. Each owner sees its own part of
-// a team's requests; as these are spread over endpoints, fair parts here make
-// fair parts overall, without shared state.
-type shares struct {
+// teamShares tracks each team's use of one engine: the work that waits and the work sent recently,
+// decaying with shareDecay. Each owner sees only its own part of a team's requests. As these are
+// spread over endpoints, fair shares at each engine make fair shares overall, without shared state.
+type teamShares struct {
 	weight func(team uint32) float64
 	teams  map[uint32]*teamUse
 }
@@ -23,11 +22,11 @@
 	waiting time.Duration
 }
 
-func newShares(weight func(uint32) float64) *shares {
-	return &shares{weight: weight, teams: map[uint32]*teamUse{}}
+func newTeamShares(weight func(uint32) float64) *teamShares {
+	return &teamShares{weight: weight, teams: map[uint32]*teamUse{}}
 }
 
-func (s *shares) team(t uint32) *teamUse {
+func (s *teamShares) team(t uint32) *teamUse {
 	u := s.teams[t]
 	if u == nil {
 		u = new(teamUse)
@@ -36,30 +35,30 @@
 	return u
 }
 
-func (u *teamUse) fade(now time.Time) {
-	u.recent *= math.Exp(-now.Sub(u.at).Seconds() / shareMemory.Seconds())
+func (u *teamUse) decay(now time.Time) {
+	u.recent *= math.Exp(-now.Sub(u.at).Seconds() / shareDecay.Seconds())
 	u.at = now
 }
 
-func (s *shares) add(now time.Time, team uint32, work time.Duration) {
+func (s *teamShares) addUse(now time.Time, team uint32, work time.Duration) {
 	u := s.team(team)
-	u.fade(now)
+	u.decay(now)
 	u.recent += work.Seconds()
 }
 
-func (s *shares) wait(team uint32, work time.Duration) { s.team(team).waiting += work }
+func (s *teamShares) addWaiting(team uint32, work time.Duration) { s.team(team).waiting += work }
 
-// use returns a team's use for each unit of its weight, in seconds of work.
-func (s *shares) use(now time.Time, team uint32) float64 {
+// use returns a team's use divided by its weight, in seconds of work.
+func (s *teamShares) use(now time.Time, team uint32) float64 {
 	u := s.team(team)
-	u.fade(now)
+	u.decay(now)
 	return (u.recent + u.waiting.Seconds()) / s.weight(team)
 }
 
-// forget drops teams without any use worth counting.
-func (s *shares) forget(now time.Time) {
+// dropIdle drops teams with negligible use.
+func (s *teamShares) dropIdle(now time.Time) {
 	for t, u := range s.teams {
-		u.fade(now)
+		u.decay(now)
 		if u.recent < 1e-3 && u.waiting <= 0 {
 			delete(s.teams, t)
 		}
