--- a/ledger/copies_test.go
+++ b/ledger/copies_test.go
@@ -2,14 +2,14 @@
 
 import "testing"
 
-// TestReserveCopy states how many copies an engine takes beside what it holds: they
-// leave room for requests, take no slot, and are over with their lease.
+// TestReserveCopy checks how many replicas an engine takes beside what it holds: they leave memory
+// for requests, take no slot, and expire with their lease.
 func TestReserveCopy(t *testing.T) {
 	cases := []struct {
 		name    string
 		running int // requests of 8,000 tokens, of 90,000
 		slots   int
-		want    int // copies of the same size that are taken
+		want    int // replicas of the same size that are granted
 	}{
 		{"idle", 0, 64, 7},
 		{"half full", 5, 64, 2},
@@ -25,18 +25,18 @@
 				}
 			}
 			l.slots = tc.slots
-			took := 0
+			granted := 0
 			for n := range 20 {
 				if l.ReserveCopy(at(0), growingArgs(100+n, 8000, 300, 0), 18_000) == nil {
-					took++
+					granted++
 				}
 			}
-			if took < tc.want || took > tc.want+1 {
-				t.Errorf("%d copies taken, want %d", took, tc.want)
+			if granted < tc.want || granted > tc.want+1 {
+				t.Errorf("%d replicas granted, want %d", granted, tc.want)
 			}
 			free, _, _ := l.Free(at(0))
-			if free < 18_000 && took > 0 {
-				t.Errorf("%d tokens free beside copies", free)
+			if free < 18_000 && granted > 0 {
+				t.Errorf("%d tokens free beside replicas", free)
 			}
 			later := at(growingLeases*int(l.lease.Milliseconds()) + 10)
 			if free, _, _ := l.Free(later); free != 90_000 {
--- a/ledger/growing.go
+++ b/ledger/growing.go
@@ -8,115 +8,114 @@
 	"github.com/embercove/embercove/route"
 )
 
-// Engines whose answers take memory as they are written. What a row holds then
-// rises until its answer ends, so a newcomer has to fit not only when it
-// begins but all the while until its own answer is likely to be over.
+// Engines whose answers take memory as they are decoded. What a row holds grows until its answer
+// ends, so a newcomer has to fit not only when it begins but until its own answer is likely to have
+// ended.
 
-// Grain and reach of the forecast of a growing engine.
+// Resolution and range of the forecast of a growing engine.
 const (
-	growStep = 100 * time.Millisecond
-	growStay = 1.5 // multiples of a newcomer's expected time that are looked at
-	growMost = 6 * time.Second
+	growthStep = 100 * time.Millisecond
+	stayFactor = 1.5 // multiples of a newcomer's expected decode time that are examined
+	maxStay    = 6 * time.Second
 )
 
-// growingMargin is how many standard deviations of the forecast are kept free
-// where no margin is configured. An engine that runs out of memory reads
-// whole requests anew, which costs more than a request that is refused.
+// growingMargin is how many standard deviations of the forecast are kept free if no margin is
+// configured. An engine that runs out of memory prefills whole requests again, which costs more
+// than refusing a request.
 const growingMargin = 1.6
 
-// negligible is the chance below which a forecast says nothing more of an answer
-// that has outlived it.
+// negligible is the probability below which the forecast says nothing more about an answer that has
+// outlived it.
 const negligible = 1e-4
 
-// written returns the tokens that a row's answer has at a moment, if it goes
-// on till then.
-func (l *Ledger) written(r *row, t time.Time, step time.Duration) float64 {
-	if !t.After(r.moved) {
+// decoded returns how many tokens a row's answer has at a time, if it still runs then.
+func (l *Ledger) decoded(r *row, t time.Time, step time.Duration) float64 {
+	if !t.After(r.transferEnd) {
 		return 0
 	}
-	return min(float64(t.Sub(r.moved))/float64(step), float64(r.maxAnswer))
+	return min(float64(t.Sub(r.transferEnd))/float64(step), float64(r.maxAnswer))
 }
 
-// survive returns the chance that a row's answer is longer than so many tokens.
-func (l *Ledger) survive(written float64, expected, asked int) float64 {
-	if expected > 0 && written < float64(asked) {
-		return l.guessed.Survive(written, expected)
+// survival returns the probability that an answer is longer than the tokens decoded so far.
+func (l *Ledger) survival(decoded float64, expected, maxAnswer int) float64 {
+	if expected > 0 && decoded < float64(maxAnswer) {
+		return l.estimates.Survive(decoded, expected)
 	}
-	return l.answers.Survive(written, asked)
+	return l.answers.Survive(decoded, maxAnswer)
 }
 
-// expect returns the tokens that an answer will have on average.
-func (l *Ledger) expect(expected, asked int) int {
+// expectedTokens returns the mean length of an answer.
+func (l *Ledger) expectedTokens(expected, maxAnswer int) int {
 	if expected > 0 {
-		return min(asked, l.guessed.Expect(expected))
+		return min(maxAnswer, l.estimates.Expect(expected))
 	}
-	return l.answers.Expect(asked)
+	return l.answers.Expect(maxAnswer)
 }
 
-// hold adds what a row holds at a moment, by the chance that it still runs.
-func (l *Ledger) hold(o *occupancy, r *row, now, t time.Time, step time.Duration) {
+// addOccupancy adds what a row holds at a time, weighted with the probability that it still runs.
+func (l *Ledger) addOccupancy(o *occupancy, r *row, now, t time.Time, step time.Duration) {
 	if r.start.After(t) {
 		return
 	}
 	p := 1.0
-	if t.After(now) && t.After(r.moved) {
-		alive := l.survive(l.written(r, now, step), r.expected, r.maxAnswer)
+	if t.After(now) && t.After(r.transferEnd) {
+		alive := l.survival(l.decoded(r, now, step), r.expected, r.maxAnswer)
 		if alive < negligible {
 			p = math.Exp(-float64(t.Sub(now)) / float64(overrun))
 		} else {
-			p = l.survive(l.written(r, t, step), r.expected, r.maxAnswer) / alive
+			p = l.survival(l.decoded(r, t, step), r.expected, r.maxAnswer) / alive
 		}
 	}
-	size := float64(r.prompt) + l.written(r, t, step)
+	size := float64(r.prompt) + l.decoded(r, t, step)
 	o.tokens += p * size
 	o.tokensVar += p * (1 - p) * size * size
-	if r.copied {
+	if r.replica {
 		return
 	}
 	o.n += p
 	o.nVar += p * (1 - p)
 }
 
-// grown returns the occupancy of a growing engine forecast for a moment.
-func (l *Ledger) grown(now, t time.Time) occupancy {
+// growingAt returns the forecast occupancy of a growing engine at a time.
+func (l *Ledger) growingAt(now, t time.Time) occupancy {
 	var o occupancy
 	step := l.step()
 	for _, r := range l.rows {
-		l.hold(&o, r, now, t, step)
+		l.addOccupancy(&o, r, now, t, step)
 	}
 	return o
 }
 
-// newcomer is what a request would hold at each growStep from its start on.
+// newcomer is what a request would hold at each growthStep from its start on.
 type newcomer []occupancy
 
-func (l *Ledger) newcomer(prompt, expected, asked int, step time.Duration) newcomer {
-	stay := time.Duration(growStay * float64(l.expect(expected, asked)) * float64(step))
-	n := 1 + int(min(stay, growMost)/growStep)
+func (l *Ledger) newcomer(prompt, expected, maxAnswer int, step time.Duration) newcomer {
+	stay := time.Duration(stayFactor * float64(l.expectedTokens(expected, maxAnswer)) * float64(step))
+	n := 1 + int(min(stay, maxStay)/growthStep)
 	out := make(newcomer, n)
 	for k := range out {
-		w := float64(k) * float64(growStep) / float64(step)
-		p := l.survive(w, expected, asked)
-		size := float64(prompt) + min(w, float64(asked))
+		w := float64(k) * float64(growthStep) / float64(step)
+		p := l.survival(w, expected, maxAnswer)
+		size := float64(prompt) + min(w, float64(maxAnswer))
 		out[k] = occupancy{tokens: p * size, tokensVar: p * (1 - p) * size * size, n: p}
 	}
 	return out
 }
 
-// timeline is the forecast of what the engine holds at each growStep from now.
+// timeline returns the forecast of what the engine holds at each growthStep from now on.
 func (l *Ledger) timeline(now time.Time, n int) []occupancy {
 	out := make([]occupancy, n)
 	for i := range out {
-		out[i] = l.grown(now, now.Add(time.Duration(i)*growStep))
+		out[i] = l.growingAt(now, now.Add(time.Duration(i)*growthStep))
 	}
 	return out
 }
 
-// room reports whether a newcomer that begins at step i of the timeline fits
-// all the while.
-func (l *Ledger) room(line []occupancy, i int, c newcomer) bool {
+// fitsThroughout reports whether a newcomer that begins at step i of the timeline fits for its
+// whole time.
+func (l *Ledger) fitsThroughout(line []occupancy, i int, c newcomer) bool {
 	z := growingMargin
-	if !l.learns {
+	if !l.learnsMargin {
 		z = l.margin
 	}
 	limit := float64(l.spec.MemoryTokens) * l.share
@@ -132,48 +131,48 @@
 	return true
 }
 
-// reserveGrowing finds the first moment at which the request fits from its
-// start to its end, or refuses with the time after which it would.
+// reserveGrowing finds the first time at which the request fits from its start to its end, or
+// refuses it with the time after which it would fit.
 func (l *Ledger) reserveGrowing(now time.Time, a Ask) (time.Time, *result.Error) {
 	step := l.step()
-	l.usual.Learn(a.Tokens, a.MaxAnswer, a.Expected)
-	l.guessed.See(a.Expected)
+	l.typical.Learn(a.Tokens, a.MaxAnswer, a.Expected)
+	l.estimates.See(a.Expected)
 	c := l.newcomer(a.Tokens, a.Expected, a.MaxAnswer, step)
 	wanted := now.Add(a.In)
 	latest := wanted.Add(a.Slack)
-	last := int((latest.Sub(now)+searchBeyond)/growStep) + 1
+	last := int((latest.Sub(now)+searchBeyond)/growthStep) + 1
 	line := l.timeline(now, last+len(c))
-	for i := int(wanted.Sub(now) / growStep); i <= last; i++ {
-		if !l.room(line, i, c) {
+	for i := int(wanted.Sub(now) / growthStep); i <= last; i++ {
+		if !l.fitsThroughout(line, i, c) {
 			continue
 		}
-		at := now.Add(time.Duration(i) * growStep)
+		at := now.Add(time.Duration(i) * growthStep)
 		if at.Before(wanted) {
 			at = wanted
 		}
 		if at.After(latest) {
 			return time.Time{}, l.refuse(now, a, latest.Sub(now), at.Sub(latest))
 		}
-		move := route.LinkTime(l.spec, a.Bytes)
-		l.add(a, at, at.Add(move), at.Add(growingLeases*l.lease))
+		transfer := route.LinkTime(l.spec, a.Bytes)
+		l.add(a, at, at.Add(transfer), at.Add(growingLeases*l.lease))
 		return at, nil
 	}
 	return time.Time{}, l.refuse(now, a, latest.Sub(now), searchBeyond)
 }
 
-// growingLeases is how many leases a reservation at a growing engine stands
-// without being seen there: such engines are asked for their list less often.
+// growingLeases is how many leases a reservation at a growing engine lasts without being seen
+// there: such engines are asked for their list less often.
 const growingLeases = 2
 
-// waitGrowing returns how long a request of the usual size waits for room.
+// waitGrowing returns how long a request of typical size waits for memory.
 func (l *Ledger) waitGrowing(now time.Time) time.Duration {
-	c := l.newcomer(l.usual.Prompt(), l.usual.Guess(), l.usual.Answer(), l.step())
-	last := int(waitMost / growStep)
+	c := l.newcomer(l.typical.Prompt(), l.typical.Guess(), l.typical.Answer(), l.step())
+	last := int(maxWait / growthStep)
 	line := l.timeline(now, last+len(c))
 	for i := range last {
-		if l.room(line, i, c) {
-			return time.Duration(i) * growStep
+		if l.fitsThroughout(line, i, c) {
+			return time.Duration(i) * growthStep
 		}
 	}
-	return waitMost
+	return maxWait
 }
--- a/ledger/growing_test.go
+++ b/ledger/growing_test.go
@@ -9,26 +9,25 @@
 	"github.com/embercove/embercove/request"
 )
 
-// growingLedger returns a ledger of an engine with 90,000 tokens whose answers
-// take memory as they are written, at a token a millisecond.
+// growingLedger returns a ledger of an engine with 90,000 tokens whose answers take memory as they
+// are decoded, at a token a millisecond.
 func growingLedger(t testing.TB) *Ledger {
 	t.Helper()
 	l := testLedger(t, config.ForecastMargin, 0)
-	l.learns = true
+	l.learnsMargin = true
 	l.spec.GrowsMemory, l.spec.MemoryTokens, l.spec.Slots = true, 90_000, 64
 	l.spec.StepMicros, l.spec.LinkBytesPerSecond = 1000, 1<<40
 	l.slots = 64
 	return l
 }
 
-func growingArgs(n, prompt, guess, slack int) Ask {
+func growingArgs(n, prompt, estimate, slack int) Ask {
 	a := reserveArgs(n, prompt, 10_880, 0, slack)
-	a.Expected, a.Bytes = guess, 0
+	a.Expected, a.Bytes = estimate, 0
 	return a
 }
 
-// TestGrowing states what a growing engine grants: how many requests of a
-// size that arrive at once, and when the next may start.
+// TestGrowing checks how many requests of a size that arrive at once a growing engine grants.
 func TestGrowing(t *testing.T) {
 	cases := []struct {
 		name          string
@@ -47,7 +46,7 @@
 			for ; n < 64; n++ {
 				if _, err := l.Reserve(at(0), growingArgs(n, tc.prompt, tc.guess, 0), evenWeights); err != nil {
 					if err.RetryAfter <= 0 {
-						t.Error("no time to come back")
+						t.Error("no retry time")
 					}
 					break
 				}
@@ -59,9 +58,9 @@
 	}
 }
 
-// TestGrowingHolds plays an overloaded engine whose answers are as long as
-// their callers guess only in the median, and counts the moments at which what
-// it granted needs more memory than there is.
+// TestGrowingHolds simulates an overloaded engine whose answers match their callers' estimates only
+// in the median. It counts the instants at which the granted requests need more memory than there
+// is.
 func TestGrowingHolds(t *testing.T) {
 	l := growingLedger(t)
 	r := rand.New(rand.NewPCG(7, 7))
@@ -75,12 +74,12 @@
 				delete(running, n)
 			}
 		}
-		guess := 500 + r.IntN(8_000)
-		length := min(10_880, max(1, int(float64(guess)*(0.5+r.Float64()*r.Float64()*3))))
+		estimate := 500 + r.IntN(8_000)
+		length := min(10_880, max(1, int(float64(estimate)*(0.5+r.Float64()*r.Float64()*3))))
 		prompt := 1_000 + r.IntN(9_000)
-		if _, err := l.Reserve(at(now), growingArgs(now, prompt, guess, 0), evenWeights); err == nil {
+		if _, err := l.Reserve(at(now), growingArgs(now, prompt, estimate, 0), evenWeights); err == nil {
 			l.rows[attempt(now)].seen = true // as the engine's list would show
-			running[now] = run{prompt, guess, length, now}
+			running[now] = run{prompt, estimate, length, now}
 			granted++
 		}
 		used := 0
@@ -94,15 +93,14 @@
 	if granted < 100 {
 		t.Errorf("%d requests granted in a minute, want 100 or more", granted)
 	}
-	if over > 96 { // 8 in 100 of 1,200 moments
-		t.Errorf("memory was short at %d of 1200 moments", over)
+	if over > 96 { // 8 in 100 of 1,200 instants
+		t.Errorf("memory was short at %d of 1200 instants", over)
 	}
-	t.Logf("%d granted, short at %d of 1200 moments", granted, over)
+	t.Logf("%d granted, short at %d of 1200 instants", granted, over)
 }
 
-// TestGrowingList checks that a list which is older than what a holder told
-// doesn't bring an ended request back, and that requests are found by the id
-// under which the engine lists them.
+// TestGrowingList checks that a list from before the reported end of a request doesn't bring the
+// request back, and that requests are found by the id under which the engine lists them.
 func TestGrowingList(t *testing.T) {
 	l := growingLedger(t)
 	a := growingArgs(1, 3_000, 500, 0)
@@ -112,7 +110,7 @@
 	}
 	l.Listed(at(100), running("9c41", "77"))
 	if len(l.rows) != 2 || !l.rows[attempt(1)].seen {
-		t.Fatalf("rows %v: want the own one seen and one that is foreign", l.rows)
+		t.Fatalf("rows %v: want the own one seen and one foreign", l.rows)
 	}
 	l.Release(at(200), End{Attempt: attempt(1), Whole: true})
 	l.Listed(at(300), running("9c41"))
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -39,8 +39,8 @@
 	return Ask{Attempt: attempt(n), Tokens: tokens, MaxAnswer: answer, Bytes: int64(tokens) * 50_000, In: ms(in), Slack: ms(slack), Team: 1}
 }
 
-// TestLedger plays reservations, one a line: prompt, answer, in, slack; want
-// is when each may start, in ms, -1 for a refusal.
+// TestLedger checks sequences of reservations, each given as prompt, answer, in and slack. want
+// lists when each may start, in ms, or -1 for a refusal.
 func TestLedger(t *testing.T) {
 	cases := []struct {
 		name string
@@ -48,15 +48,15 @@
 		args [][4]int
 		want []int
 	}{
-		{"room at once", config.ForecastPlain, [][4]int{{1000, 100, 0, 0}}, []int{0}},
-		{"at the moment asked for", config.ForecastPlain, [][4]int{{1000, 100, 300, 0}}, []int{300}},
+		{"fits at once", config.ForecastPlain, [][4]int{{1000, 100, 0, 0}}, []int{0}},
+		{"at the requested time", config.ForecastPlain, [][4]int{{1000, 100, 300, 0}}, []int{300}},
 		{"full, no time", config.ForecastPlain, [][4]int{{8000, 1000, 0, 0}, {2000, 100, 0, 100}}, []int{0, -1}},
-		// 8000 tokens move for 800 ms, then some 50 tokens of 10 ms.
+		// The transfer of 8000 tokens takes 800 ms, then about 50 tokens take 10 ms each.
 		{"full, until the first ends", config.ForecastPlain, [][4]int{{8000, 100, 0, 0}, {2000, 100, 0, 2000}}, []int{0, 1320}},
 		{"held from now on, never free", config.ForecastHold, [][4]int{{8000, 100, 0, 0}, {2000, 100, 0, 2000}}, []int{0, -1}},
-		{"the link is taken in turn", config.ForecastPlain, [][4]int{{2000, 100, 0, 500}, {1000, 100, 0, 500}}, []int{0, 200}},
-		{"a later one leaves room before it", config.ForecastPlain, [][4]int{{8000, 100, 3000, 0}, {2000, 100, 0, 0}}, []int{3000, 0}},
-		{"a later one is not run over", config.ForecastPlain, [][4]int{{8000, 100, 1000, 0}, {2000, 2000, 0, 0}}, []int{1000, -1}},
+		{"transfers share the link one after the other", config.ForecastPlain, [][4]int{{2000, 100, 0, 500}, {1000, 100, 0, 500}}, []int{0, 200}},
+		{"a later one leaves memory before it", config.ForecastPlain, [][4]int{{8000, 100, 3000, 0}, {2000, 100, 0, 0}}, []int{3000, 0}},
+		{"a later one keeps its memory", config.ForecastPlain, [][4]int{{8000, 100, 1000, 0}, {2000, 2000, 0, 0}}, []int{1000, -1}},
 		{"slots run out", config.ForecastPlain, [][4]int{{1, 99, 0, 0}, {1, 99, 1, 0}, {1, 99, 2, 0}, {1, 99, 3, 0}, {1, 99, 4, 0}, {1, 99, 5, 0}, {1, 99, 6, 0}, {1, 99, 7, 0}, {1, 99, 8, 0}},
 			[]int{0, 1, 2, 3, 4, 5, 6, 7, -1}},
 	}
@@ -69,7 +69,7 @@
 				if err == nil {
 					got = int(start.Sub(epoch).Milliseconds())
 				} else if err.RetryAfter <= 0 {
-					t.Errorf("reservation %d: no time to come back", i)
+					t.Errorf("reservation %d: no retry time", i)
 				}
 				if got != tc.want[i] {
 					t.Errorf("reservation %d starts at %d, want %d (%v)", i, got, tc.want[i], err)
@@ -79,9 +79,8 @@
 	}
 }
 
-// TestLedgerList checks the ledger against the engine's own list: a lease that
-// lapses doesn't free what the engine holds, and what the engine doesn't hold
-// any more is free.
+// TestLedgerList checks the ledger against the engine's own list: an expired lease doesn't free
+// what the engine holds, and what the engine no longer holds is free.
 func TestLedgerList(t *testing.T) {
 	l := testLedger(t, config.ForecastPlain, 0)
 	for i := range 3 {
@@ -93,10 +92,10 @@
 	l.Listed(at(100), held)
 	l.expire(at(60_000))
 	if _, there := l.rows[attempt(0)]; !there {
-		t.Error("a request that the engine holds was dropped when its lease lapsed")
+		t.Error("a request that the engine holds was dropped when its lease expired")
 	}
 	if _, there := l.rows[attempt(1)]; there {
-		t.Error("a reservation that nobody took up outlives its lease")
+		t.Error("an unused reservation outlives its lease")
 	}
 	if r, there := l.rows[attempt(9)]; !there || r.tokens != 500 {
 		t.Error("a request that only the engine knows doesn't count")
@@ -107,8 +106,8 @@
 	}
 }
 
-// TestLedgerFair checks that a team can't hold more than its part of crowded
-// memory, and that it may hold all when it is alone.
+// TestLedgerFair checks that a team can't hold more than its share of crowded memory, and that it
+// may hold all of it when it is alone.
 func TestLedgerFair(t *testing.T) {
 	l := testLedger(t, config.ForecastPlain, 0)
 	take := func(n int, team uint32) bool {
@@ -119,17 +118,17 @@
 	}
 	for n := range 6 {
 		if !take(n, 1) {
-			t.Fatalf("reservation %d refused while there is room", n)
+			t.Fatalf("reservation %d refused while memory is free", n)
 		}
 	}
 	if !take(10, 2) {
-		t.Error("a second team is refused while there is room")
+		t.Error("a second team is refused while memory is free")
 	}
 	if take(11, 1) {
-		t.Error("the team above its part took more of crowded memory")
+		t.Error("the team above its share got more of crowded memory")
 	}
 	if !take(12, 2) {
-		t.Error("the team below its part was refused")
+		t.Error("the team below its share was refused")
 	}
 }
 
@@ -146,7 +145,7 @@
 				n++
 			}
 		}
-		later := at(2500) // some have ended by then, nobody knows which
+		later := at(2500) // some have ended by then; which ones is unknown
 		for i := range 40 {
 			a := reserveArgs(100+i, 100, 500, 300, 0)
 			a.Bytes = 0
@@ -156,9 +155,9 @@
 		}
 		return n
 	}
-	bold, plain, careful := granted(-1), granted(0), granted(1)
-	if bold <= plain || plain <= careful {
-		t.Errorf("granted %d, %d and %d with margins -1, 0 and 1: want them to fall", bold, plain, careful)
+	small, zero, large := granted(-1), granted(0), granted(1)
+	if small <= zero || zero <= large {
+		t.Errorf("granted %d, %d and %d with margins -1, 0 and 1: want decreasing numbers", small, zero, large)
 	}
 }
 
@@ -174,21 +173,21 @@
 	}
 }
 
-// TestLearnMargin checks that the margin settles where the asked share of
-// requests finds the engine full.
+// TestLearnMargin checks that the margin rises while more than the target share of requests find
+// the engine full, and falls while fewer do, up to its bounds.
 func TestLearnMargin(t *testing.T) {
 	l := testLedger(t, config.ForecastMargin, 0)
-	l.learns, l.full = true, 0.1
+	l.learnsMargin, l.fullShare = true, 0.1
 	for i := range 2000 {
 		l.learnMargin(i%4 == 0) // too many
 	}
-	if l.margin < marginMost-marginStep {
-		t.Errorf("margin %.2f with a quarter of requests waiting, want the most", l.margin)
+	if l.margin < maxMargin-marginStep {
+		t.Errorf("margin %.2f with a quarter of requests waiting, want the maximum", l.margin)
 	}
 	for i := range 4000 {
 		l.learnMargin(i%20 == 0) // too few
 	}
-	if l.margin > marginLeast+marginStep {
-		t.Errorf("margin %.2f with a twentieth waiting, want the least", l.margin)
+	if l.margin > minMargin+marginStep {
+		t.Errorf("margin %.2f with a twentieth waiting, want the minimum", l.margin)
 	}
 }
--- a/ledger/margin.go
+++ b/ledger/margin.go
@@ -1,21 +1,21 @@
 package ledger
 
-// Steps and bounds of the learned margin, in standard deviations.
+// Step and bounds of the learned margin, in standard deviations.
 const (
-	marginStep  = 0.10
-	marginLeast = -3.0
-	marginMost  = 2.0
+	marginStep = 0.10
+	minMargin  = -3.0
+	maxMargin  = 2.0
 )
 
-// learnMargin moves the margin so that in the long run the share of requests
-// that find the engine full is the one asked for.
+// learnMargin adjusts the margin so that in the long run the share of requests that find the engine
+// full is the configured one.
 func (l *Ledger) learnMargin(waited bool) {
-	if !l.learns {
+	if !l.learnsMargin {
 		return
 	}
-	step := -marginStep * l.full / (1 - l.full)
+	step := -marginStep * l.fullShare / (1 - l.fullShare)
 	if waited {
 		step = marginStep
 	}
-	l.margin = min(marginMost, max(marginLeast, l.margin+step))
+	l.margin = min(maxMargin, max(minMargin, l.margin+step))
 }
--- a/ledger/rows.go
+++ b/ledger/rows.go
@@ -10,33 +10,33 @@
 
 // row is a reservation of decode memory, or a request that the engine holds.
 type row struct {
-	attempt   request.Attempt
-	team      uint32
-	tokens    int // prompt and the answer asked for
-	prompt    int
-	maxAnswer int
-	expected  int       // answer by the caller's guess; 0: none
-	mark      uint64    // of the id by which the engine lists it; 0: the attempt itself
-	start     time.Time // when the engine's memory is taken: the transfer begins
-	moved     time.Time // end of the transfer
-	held      int       // tokens that the engine's last list told of
-	listed    time.Time // when that came
-	lease     time.Time // until when it stands without being seen at the engine
-	seen      bool      // the engine's own list has it
-	copied    bool      // a copy of an answer that another engine writes: it takes memory and no slot
+	attempt      request.Attempt
+	team         uint32
+	tokens       int // prompt and requested answer
+	prompt       int
+	maxAnswer    int
+	expected     int       // answer estimated by the caller; 0: none
+	idHash       uint64    // hash of the id under which the engine lists it; 0: the attempt itself
+	start        time.Time // when the engine's memory is taken: the transfer begins
+	transferEnd  time.Time // when decoding begins
+	listedTokens int       // tokens by the engine's last list
+	listedAt     time.Time // when that list came
+	lease        time.Time // when it expires unless the engine has shown it
+	seen         bool      // the engine's own list has it
+	replica      bool      // a replica of a request's KV cache: it takes memory and no slot
 }
 
-// span returns when the row's transfer begins and ends. A request that the
-// engine hasn't shown yet can't have begun before now, whatever was forecast.
-func (r *row) span(now time.Time) (start, moved time.Time) {
+// span returns when the row's transfer begins and ends. A request that the engine hasn't shown yet
+// can't have begun before now, whatever the forecast was.
+func (r *row) span(now time.Time) (start, transferEnd time.Time) {
 	if r.seen || r.start.After(now) {
-		return r.start, r.moved
+		return r.start, r.transferEnd
 	}
-	return now, now.Add(r.moved.Sub(r.start))
+	return now, now.Add(r.transferEnd.Sub(r.start))
 }
 
-// expire drops reservations that were never taken up. What the engine holds
-// stays, however long its holder has been silent.
+// expire drops reservations that were never used. What the engine holds stays, however long its
+// holder has been silent.
 func (l *Ledger) expire(now time.Time) {
 	for a, r := range l.rows {
 		if !r.seen && now.After(r.lease) {
@@ -45,53 +45,53 @@
 	}
 }
 
-// drop forgets a row.
+// drop removes a row.
 func (l *Ledger) drop(a request.Attempt) {
-	if r := l.rows[a]; r != nil && r.mark != 0 {
-		delete(l.marked, r.mark)
+	if r := l.rows[a]; r != nil && r.idHash != 0 {
+		delete(l.byIDHash, r.idHash)
 	}
 	delete(l.rows, a)
 }
 
 // add enters a reservation.
-func (l *Ledger) add(a Ask, start, moved, lease time.Time) {
+func (l *Ledger) add(a Ask, start, transferEnd, lease time.Time) {
 	l.rows[a.Attempt] = &row{attempt: a.Attempt, team: a.Team, tokens: a.Tokens + a.MaxAnswer, prompt: a.Tokens,
-		maxAnswer: a.MaxAnswer, expected: a.Expected, mark: a.Mark, start: start, moved: moved, lease: lease}
+		maxAnswer: a.MaxAnswer, expected: a.Expected, idHash: a.Mark, start: start, transferEnd: transferEnd, lease: lease}
 	if a.Mark != 0 {
-		l.marked[a.Mark] = a.Attempt
+		l.byIDHash[a.Mark] = a.Attempt
 	}
 }
 
-// listedAs is the attempt that stands for a request which the engine lists
-// under another id than the attempt's.
-func listedAs(mark uint64) request.Attempt {
-	return request.Attempt{ID: request.ID{Counter: mark}}
+// listedAttempt returns the attempt that stands for a request which the engine lists under another id
+// than the attempt's.
+func listedAttempt(idHash uint64) request.Attempt {
+	return request.Attempt{ID: request.ID{Counter: idHash}}
 }
 
-// Row is a row as another owner is told of it.
+// Row is a row in the form handed to another owner.
 type Row struct {
 	Ask   Ask
 	Start time.Time // when the engine's memory is taken
 	Moved time.Time // end of the transfer
-	Lease time.Time // until when it stands without being seen at the engine
+	Lease time.Time // when it expires unless the engine has shown it
 	Seen  bool      // the engine's own list has it
 }
 
-// Rows returns the rows that a successor can't read from the engine's list, and of an
-// engine whose memory grows all of them.
+// Rows returns the rows that a successor can't read from the engine's list; for an engine whose
+// memory grows, all rows.
 func (l *Ledger) Rows() []Row {
 	var out []Row
 	for _, r := range l.rows {
 		if r.seen && !l.spec.GrowsMemory {
 			continue
 		}
-		ask := Ask{Attempt: r.attempt, Team: r.team, Tokens: r.tokens - r.maxAnswer, MaxAnswer: r.maxAnswer, Expected: r.expected, Mark: r.mark}
-		out = append(out, Row{Ask: ask, Start: r.start, Moved: r.moved, Lease: r.lease, Seen: r.seen})
+		ask := Ask{Attempt: r.attempt, Team: r.team, Tokens: r.tokens - r.maxAnswer, MaxAnswer: r.maxAnswer, Expected: r.expected, Mark: r.idHash}
+		out = append(out, Row{Ask: ask, Start: r.start, Moved: r.transferEnd, Lease: r.lease, Seen: r.seen})
 	}
 	return out
 }
 
-// Accept takes in a row of another owner, unless the attempt has ended or is known.
+// Accept adds a row of another owner, unless the attempt has ended or is known.
 func (l *Ledger) Accept(r Row) {
 	if _, over := l.ended[r.Ask.Attempt]; over || l.rows[r.Ask.Attempt] != nil {
 		return
@@ -100,8 +100,8 @@
 	l.rows[r.Ask.Attempt].seen = r.Seen
 }
 
-// Foreign returns a stand-in for an attempt that embercove didn't send. Host 0 marks
-// it; it is never cancelled.
+// Foreign returns a stand-in for an attempt that embercove didn't send, recognizable by host 0. It
+// is never cancelled.
 func Foreign(id string) request.Attempt {
 	return request.Attempt{ID: request.ID{Counter: xxhash.Sum64String(id)}}
 }
--- a/ledger/steps.go
+++ b/ledger/steps.go
@@ -9,98 +9,97 @@
 	"github.com/embercove/embercove/route"
 )
 
-// The time of a decode step is learned as a factor on the configured one, from
-// answers that ended, and before any did from how the engine's lists grow. An
-// engine whose steps are believed too short is thought to be free too soon, and
-// is given more requests than its memory holds.
+// The time of a decode step is learned as a factor on the configured time: from completed answers,
+// and before there are any, from how the engine's lists grow. An engine whose steps are assumed to
+// be too short is considered free too early, and gets more requests than its memory holds.
 
-// Weights and bounds of what is learned of an engine's steps.
+// Weights and bounds for learning the time of an engine's steps.
 const (
-	stepMemory    = 10.0                   // answers that are remembered
-	stepInherited = 3.0                    // answers that the pace of others counts as
-	stepKnown     = 5.0                    // answers from which lists, which are less exact, tell nothing more
-	stepLeast     = 256                    // tokens of an answer that tells anything
-	stepOff       = 100.0                  // times by which an engine may be off its configured step, either way
-	listSpan      = 300 * time.Millisecond // least time between lists that are compared
-	turned        = 3.0                    // times by which lists must be off what answers told: more than lists are off by themselves
-	turnLists     = 2                      // in a row: the first may cover work from before
+	stepWindow      = 10.0                   // answers that the average covers
+	inheritedWeight = 3.0                    // answers that an inherited pace counts as
+	knownWeight     = 5.0                    // number of answers from which on lists, which are less exact, are not learned from
+	minStepTokens   = 256                    // fewest tokens of an answer to learn from
+	maxPaceFactor   = 100.0                  // bound on the factor between actual and configured step, in either direction
+	minListInterval = 300 * time.Millisecond // least time between lists that are compared
+	paceChangeRatio = 3.0                    // factor by which lists must differ from the learned pace, more than their own error
+	paceChangeLists = 2                      // consecutive lists; the first may cover work from before the change
 )
 
-// learnPace learns from an answer that was whole.
+// learnPace learns from a complete answer.
 func (l *Ledger) learnPace(tokens int, took time.Duration) {
-	if tokens < stepLeast || took <= 0 || !l.spec.GrowsMemory {
+	if tokens < minStepTokens || took <= 0 || !l.spec.GrowsMemory {
 		return
 	}
 	l.observeStep(took.Seconds() / float64(tokens))
 }
 
-// growth is how fast the requests grew that two lists both show: the seconds that
-// each took for a token.
+// growth is how fast the requests grew that are in two successive lists: the seconds that each took
+// for a token.
 type growth []float64
 
-// grow takes in a request of a list, and adds to g how fast it has grown since the
-// list before.
-func (l *Ledger) grow(now time.Time, r *row, held endpoint.Running, g *growth) {
-	span, grown := now.Sub(r.listed), held.Tokens-r.held
-	known := !r.listed.IsZero()
-	if known && span < listSpan {
+// observeGrowth updates a row from a list, and appends to g how fast its request has grown since
+// the previous list.
+func (l *Ledger) observeGrowth(now time.Time, r *row, held endpoint.Running, g *growth) {
+	span, grown := now.Sub(r.listedAt), held.Tokens-r.listedTokens
+	known := !r.listedAt.IsZero()
+	if known && span < minListInterval {
 		return
 	}
 	if known && grown > 0 {
 		seconds := span.Seconds() / float64(grown)
 		*g = append(*g, seconds)
-		if l.pace.Weight < stepKnown {
+		if l.stepPace.Weight < knownWeight {
 			l.observeStep(seconds)
 		}
 	}
-	r.held, r.listed = held.Tokens, now
+	r.listedTokens, r.listedAt = held.Tokens, now
 }
 
-// noticeTurn takes in the growth of a list. An engine whose requests grow far slower
-// or faster than believed, by turnLists lists in a row, has turned: by answers alone,
-// which end the later the slower it is, it would be thought to be free long before it
-// is, be given more than its memory holds, and read whole requests anew.
-func (l *Ledger) noticeTurn(g growth) {
+// detectPaceChange resets the pace when, by paceChangeLists lists in a row, the requests grow far
+// slower or faster than the learned pace. Answers alone show this too late, as they end later the
+// slower the engine is. Meanwhile the engine would be considered free long before it is, get more
+// than its memory holds, and prefill whole requests again.
+func (l *Ledger) detectPaceChange(g growth) {
 	if len(g) == 0 {
 		return
 	}
 	slices.Sort(g)
-	ratio := g[len(g)/2] / l.step().Seconds() // one that reads its prompt there grows much faster
-	if ratio < turned && ratio > 1/turned {
-		l.turnSeen = 0
+	ratio := g[len(g)/2] / l.step().Seconds() // a request that still prefills there grows much faster
+	if ratio < paceChangeRatio && ratio > 1/paceChangeRatio {
+		l.paceChangeSeen = 0
 		return
 	}
-	l.turnSeen++
-	if l.turnSeen < turnLists || l.pace.Weight < stepKnown {
+	l.paceChangeSeen++
+	if l.paceChangeSeen < paceChangeLists || l.stepPace.Weight < knownWeight {
 		return
 	}
-	l.turnSeen = 0
-	l.pace = forecast.Moment{Mean: min(stepOff, max(1/stepOff, l.pace.Mean*ratio)), Weight: stepInherited}
+	l.paceChangeSeen = 0
+	l.stepPace = forecast.Moment{Mean: min(maxPaceFactor, max(1/maxPaceFactor, l.stepPace.Mean*ratio)), Weight: inheritedWeight}
 }
 
-// observeStep takes in the seconds of a step.
+// observeStep learns from the seconds of a step.
 func (l *Ledger) observeStep(seconds float64) {
-	told := route.StepTime(l.spec, len(l.rows)).Seconds()
-	l.pace.LearnOf(min(stepOff, max(1/stepOff, seconds/told)), stepMemory)
+	configured := route.StepTime(l.spec, len(l.rows)).Seconds()
+	l.stepPace.LearnOf(min(maxPaceFactor, max(1/maxPaceFactor, seconds/configured)), stepWindow)
 }
 
-// InheritPace begins with what others of the pool show.
+// InheritPace starts from the pace of other engines of the pool.
 func (l *Ledger) InheritPace(slowPct uint16) {
-	if slowPct > 0 && l.pace.Weight == 0 {
-		l.pace = forecast.Moment{Mean: float64(slowPct) / 100, Weight: stepInherited}
+	if slowPct > 0 && l.stepPace.Weight == 0 {
+		l.stepPace = forecast.Moment{Mean: float64(slowPct) / 100, Weight: inheritedWeight}
 	}
 }
 
-// Unpaced reports whether nothing is known of the engine's steps, though it has
-// work from which something could be.
+// Unpaced reports whether nothing is known of the engine's steps although it has work to learn
+// from.
 func (l *Ledger) Unpaced() bool {
-	return l.spec.GrowsMemory && l.pace.Weight == 0 && len(l.rows) > 0
+	return l.spec.GrowsMemory && l.stepPace.Weight == 0 && len(l.rows) > 0
 }
 
-// SlowPct returns the pace for a digest; 0: nothing is known.
+// SlowPct returns the pace in percent for a digest; 0: unknown.
 func (l *Ledger) SlowPct() uint16 {
-	if l.pace.Weight == 0 {
+	if l.stepPace.Weight == 0 {
 		return 0
 	}
-	return uint16(min(stepOff, l.pace.Mean) * 100)
+	return uint16(min(maxPaceFactor, l.stepPace.Mean) * 100)
 }
--- a/ledger/steps_test.go
+++ b/ledger/steps_test.go
@@ -8,8 +8,8 @@
 	"github.com/embercove/embercove/request"
 )
 
-// TestStepPace states what an owner takes for the time of a step, in
-// microseconds, at an engine that is configured with 1,000.
+// TestStepPace checks the learned time of a step, in microseconds, at an engine that is configured
+// with 1,000.
 func TestStepPace(t *testing.T) {
 	grows := func(l *Ledger, step int) { // lists at 0, 400 and 800 ms
 		if _, err := l.Reserve(at(0), growingArgs(1, 3000, 600, 0), evenWeights); err != nil {
@@ -28,25 +28,25 @@
 		{"slow, by its lists", func(l *Ledger) { grows(l, 5000) }, 4500, 5500},
 		{"fast, by its lists", func(l *Ledger) { grows(l, 250) }, 225, 275},
 		{"by others of its pool", func(l *Ledger) { l.InheritPace(700) }, 7000, 7000},
-		{"its own answers go before others", func(l *Ledger) {
+		{"its own answers outweigh others", func(l *Ledger) {
 			l.InheritPace(700)
 			for range 20 {
 				l.learnPace(500, ms(1000))
 			}
 		}, 2000, 3000},
-		{"its answers go before its lists", func(l *Ledger) {
+		{"its answers outweigh its lists", func(l *Ledger) {
 			for range 10 {
 				l.learnPace(500, ms(1000))
 			}
 			grows(l, 5000)
 		}, 2000, 2000},
-		{"it turns slow", func(l *Ledger) {
+		{"it becomes slow", func(l *Ledger) {
 			for range 10 {
 				l.learnPace(500, ms(1000))
 			}
 			grows(l, 10_000)
 		}, 9_000, 11_000},
-		{"it is fast again", func(l *Ledger) {
+		{"it becomes fast again", func(l *Ledger) {
 			for range 10 {
 				l.learnPace(500, ms(5000))
 			}
--- a/ledger/usual_test.go
+++ b/ledger/usual_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestUsual checks that the room which others are told of is that for requests
-// as they come: an engine that is nearly full has room sooner for short answers.
+// TestUsual checks that the announced wait is the wait of requests of typical size: an engine that
+// is nearly full has memory sooner for short answers.
 func TestUsual(t *testing.T) {
 	wait := func(guess, asked int) int {
 		l := growingLedger(t)
@@ -11,12 +11,12 @@
 			l.add(Ask{Attempt: attempt(n), Tokens: 9_000, MaxAnswer: 4_000, Expected: 1_000 + 300*n}, at(0), at(0), at(60_000))
 		}
 		for range 30 {
-			l.usual.Learn(9_000, asked, guess)
+			l.typical.Learn(9_000, asked, guess)
 		}
 		return int(l.waitGrowing(at(0)).Milliseconds())
 	}
 	short, long := wait(50, 100), wait(4_000, 4_000)
 	if short >= long {
-		t.Errorf("room for short answers after %d ms, for long ones after %d", short, long)
+		t.Errorf("memory for short answers after %d ms, for long ones after %d", short, long)
 	}
 }
