--- a/quarantine/cell.go
+++ b/quarantine/cell.go
@@ -6,66 +6,66 @@
 	"github.com/embercove/embercove/request"
 )
 
-// Bounds of what is remembered.
+// Bounds of the records that are kept.
 const (
-	// suspectKept is how long an end is remembered without another: what comes each hour
-	// or less often ends fewer endpoints than break by themselves.
-	suspectKept = time.Hour
-	// blamedKept is how long a blamed request is remembered after its last end.
-	blamedKept = 24 * time.Hour
-	// mostCells is how many marks are remembered: some 0.6 MB. An endpoint that ends marks
-	// what it had in progress, some tens.
-	mostCells = 4096
+	// suspectTTL is how long a record is kept after a crash without another one: a request that
+	// comes once an hour or less often crashes fewer endpoints than fail by themselves.
+	suspectTTL = time.Hour
+	// blamedTTL is how long a blamed request is kept after its last crash.
+	blamedTTL = 24 * time.Hour
+	// maxRecords is how many records are kept: about 0.6 MB. A crash of an endpoint marks all that
+	// it had in progress, some tens of requests.
+	maxRecords = 4096
 )
 
-// cellKey names a request in one stage.
-type cellKey struct {
+// recordKey identifies a request in one stage.
+type recordKey struct {
 	request request.Fingerprint
 	stage   Stage
 }
 
-// cell is what is known of a request in one stage.
-type cell struct {
+// record is what is known of a request in one stage.
+type record struct {
 	mark     Mark
 	at       time.Time // when the mark was made
 	team     uint32
-	process  Process // that ended last
-	old      bool    // it had not just begun there
+	process  Process // that crashed last
+	old      bool    // it was an old run there
 	endpoint string
-	host     string // that saw it
+	host     string // that observed the crash
 }
 
-// put takes a cell over if it tells of more than the one that is there, and reports whether
-// it did; the caller holds the lock.
-func (r *Registry) put(k cellKey, c *cell, now time.Time) bool {
-	old := r.cells[k]
-	if old != nil && !old.mark.Below(c.mark) || old == nil && c.expired(now) {
+// put stores a record if its mark supersedes the present one, and reports whether it did. The
+// caller holds the lock.
+func (r *Registry) put(k recordKey, c *record, now time.Time) bool {
+	old := r.records[k]
+	if old != nil && !old.mark.Less(c.mark) || old == nil && c.expired(now) {
 		return false
 	}
-	if old == nil && len(r.cells) >= mostCells && !r.makeRoom(c) {
+	if old == nil && len(r.records) >= maxRecords && !r.evictFor(c) {
 		return false
 	}
-	r.cells[k] = c
+	r.records[k] = c
 	return true
 }
 
-// makeRoom forgets a cell for a new one, of the team that has the most: a caller who sends
-// many different requests that end endpoints pushes out their own team's marks. Of these the
-// one with the fewest ends goes, and of such the oldest. It reports whether there is room.
-func (r *Registry) makeRoom(c *cell) bool {
-	of := map[uint32]int{c.team: 1}
-	for _, other := range r.cells {
-		of[other.team]++
+// evictFor evicts a record for a new one, from the team with the most records: a caller that sends
+// many different crashing requests evicts only marks of its own team. Of these the one with the
+// fewest crashes goes first, and among equals the oldest. It reports whether there is room.
+func (r *Registry) evictFor(c *record) bool {
+	perTeam := map[uint32]int{c.team: 1}
+	for _, other := range r.records {
+		perTeam[other.team]++
 	}
-	most := c.team
-	for team, n := range of {
-		if n > of[most] || n == of[most] && team < most {
-			most = team
+	largest := c.team
+	for team, n := range perTeam {
+		if n > perTeam[largest] || n == perTeam[largest] && team < largest {
+			largest = team
 		}
 	}
-	worst, key := c, cellKey{}
-	for k, other := range r.cells {
-		if other.team == most && (worst.team != most || other.sooner(worst)) {
+	worst, key := c, recordKey{}
+	for k, other := range r.records {
+		if other.team == largest && (worst.team != largest || other.evictBefore(worst)) {
 			worst, key = other, k
 		}
 	}
@@ -73,41 +73,41 @@
 	if worst == c {
 		return false
 	}
-	delete(r.cells, key)
+	delete(r.records, key)
 	return true
 }
 
-// sooner reports whether a cell is forgotten before another.
-func (c *cell) sooner(o *cell) bool {
+// evictBefore reports whether a record is evicted before another.
+func (c *record) evictBefore(o *record) bool {
 	if c.mark.Ends != o.mark.Ends || c.mark.Beside != o.mark.Beside {
-		return Mark{Ends: c.mark.Ends, Beside: c.mark.Beside}.Below(Mark{Ends: o.mark.Ends, Beside: o.mark.Beside})
+		return Mark{Ends: c.mark.Ends, Beside: c.mark.Beside}.Less(Mark{Ends: o.mark.Ends, Beside: o.mark.Beside})
 	}
 	return c.at.Before(o.at)
 }
 
-// expired reports whether a cell has been kept for long enough.
-func (c *cell) expired(now time.Time) bool {
-	kept := suspectKept
-	if c.mark.Ends >= mostEnds {
-		kept = blamedKept
+// expired reports whether the record has been kept long enough.
+func (c *record) expired(now time.Time) bool {
+	kept := suspectTTL
+	if c.mark.Ends >= blameAt {
+		kept = blamedTTL
 	}
 	return now.Sub(c.at) >= kept
 }
 
-func (c *cell) row(k cellKey, now time.Time) Row {
+func (c *record) row(k recordKey, now time.Time) Row {
 	return Row{Request: k.request, Stage: k.stage, Mark: c.mark, Team: c.team, AgeMillis: max(0, now.Sub(c.at).Milliseconds()),
 		Process: c.process, Old: c.old, Endpoint: c.endpoint, Host: c.host}
 }
 
-// Sweep forgets what has been kept for long enough.
+// Sweep drops what has been kept long enough.
 func (r *Registry) Sweep(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for k, c := range r.cells {
+	for k, c := range r.records {
 		if c.expired(now) {
-			delete(r.cells, k)
+			delete(r.records, k)
 		}
 	}
 	r.events.sweep(now)
-	r.trials.sweep(now)
+	r.probes.sweep(now)
 }
--- a/quarantine/event.go
+++ b/quarantine/event.go
@@ -2,91 +2,91 @@
 
 import "time"
 
-// Who had just begun where a process ended explains the end for all others that were in
-// progress there, on all hosts: what ends a process does so soon after it was sent. So a request that runs beside several that
-// each end an endpoint isn't suspected with them. Where all who had just begun are cleared,
-// or nobody had, the others are suspected.
+// The requests that had just begun (young runs) where a process crashed explain the crash for all
+// older runs there, on all hosts: a request that crashes a process does so soon after it was sent.
+// So a request that runs beside several that each crash an endpoint isn't suspected with them. If
+// all young runs are cleared, or there was none, the older ones are suspected.
 
 const (
-	// ExplainWait is how long what had not just begun waits for word of what had: the hosts
-	// notice an end within some milliseconds of each other, and tell at once.
+	// ExplainWait is how long an old run waits for reports of young ones: hosts notice a crash
+	// within some milliseconds of each other, and report it at once.
 	ExplainWait = 300 * time.Millisecond
-	// eventKept is how long an end is remembered for this. Who was there by chance is
-	// answered whole within the time of some answers.
-	eventKept = 10 * time.Minute
-	// mostEvents is how many ends are remembered so, with mostOld runs each at the most.
-	// Beyond it the oldest goes, and what was withheld for it isn't suspected.
-	mostEvents = 256
-	mostOld    = 64
-	// oneEnd is how long the ends told of one process are one event. Where endpoints don't
-	// tell when they started, all processes at an address have one name.
-	oneEnd = 15 * time.Second
+	// crashTTL is how long a crash is kept for this. A request that was there by chance is answered
+	// completely within the time of a few answers.
+	crashTTL = 10 * time.Minute
+	// maxEvents is how many crashes are kept this way, with at most maxWithheld old runs each.
+	// Beyond that the oldest is dropped, and the runs withheld for it are not suspected.
+	maxEvents   = 256
+	maxWithheld = 64
+	// sameCrashFor is how long reports of a process's crash count as one event. If endpoints don't
+	// report when they started, all processes at an address have the same name.
+	sameCrashFor = 15 * time.Second
 )
 
-// event is the end of one process.
+// event is the crash of one process.
 type event struct {
 	at       time.Time
 	endpoint string
-	suspects map[cellKey]suspect
-	old      []Run // of this host, that had not just begun and aren't suspected
+	suspects map[recordKey]suspect
+	withheld []Run // old runs of this host, not suspected so far
 }
 
-// suspect is a request that was there as a process ended, and may have ended it.
+// suspect is a request that was there when a process crashed, and may have caused it.
 type suspect struct {
-	epoch uint32 // in which it is
+	epoch uint32 // of its mark
 	young bool   // it had just begun there
 }
 
-// events are the ends of processes, as one host knows them.
-type events struct{ of map[Process]*event }
+// events holds the crashes of processes that one host knows of.
+type events struct{ byProcess map[Process]*event }
 
 func newEvents() events { return events{map[Process]*event{}} }
 
-// get returns the event of a process that ended at about some time.
+// get returns the crash of a process at about a given time.
 func (s *events) get(p Process, now time.Time) *event {
-	e := s.of[p]
-	if e != nil && now.Sub(e.at) < oneEnd {
+	e := s.byProcess[p]
+	if e != nil && now.Sub(e.at) < sameCrashFor {
 		return e
 	}
-	delete(s.of, p)
-	if len(s.of) >= mostEvents {
+	delete(s.byProcess, p)
+	if len(s.byProcess) >= maxEvents {
 		s.dropOldest()
 	}
-	e = &event{at: now, suspects: map[cellKey]suspect{}}
-	s.of[p] = e
+	e = &event{at: now, suspects: map[recordKey]suspect{}}
+	s.byProcess[p] = e
 	return e
 }
 
 func (s *events) dropOldest() {
 	var oldest Process
 	var at time.Time
-	for p, e := range s.of {
+	for p, e := range s.byProcess {
 		if at.IsZero() || e.at.Before(at) {
 			oldest, at = p, e.at
 		}
 	}
-	delete(s.of, oldest)
+	delete(s.byProcess, oldest)
 }
 
-// suspect notes that a request was there as a process ended.
-func (s *events) suspect(p Process, k cellKey, who suspect, now time.Time) {
+// addSuspect records that a request was there when a process crashed.
+func (s *events) addSuspect(p Process, k recordKey, who suspect, now time.Time) {
 	s.get(p, now).suspects[k] = who
 }
 
-// withhold notes a run that had not.
+// withhold records an old run of a crashed process.
 func (s *events) withhold(p Process, endpoint string, run Run, now time.Time) {
 	e := s.get(p, now)
 	e.endpoint = endpoint
-	if len(e.old) < mostOld {
-		e.old = append(e.old, run)
+	if len(e.withheld) < maxWithheld {
+		e.withheld = append(e.withheld, run)
 	}
 }
 
-// sweep forgets what has been kept for long enough.
+// sweep drops what has been kept long enough.
 func (s *events) sweep(now time.Time) {
-	for p, e := range s.of {
-		if now.Sub(e.at) >= eventKept {
-			delete(s.of, p)
+	for p, e := range s.byProcess {
+		if now.Sub(e.at) >= crashTTL {
+			delete(s.byProcess, p)
 		}
 	}
 }
--- a/quarantine/evidence.go
+++ b/quarantine/evidence.go
@@ -2,41 +2,41 @@
 
 import "time"
 
-// Sign is what was seen of an endpoint after a call to it had broken off.
+// Sign is what was observed of an endpoint after a call to it had broken off.
 type Sign uint8
 
-// The signs.
+// Kinds of evidence.
 const (
-	// SignNone says nothing: the endpoint is silent, cut off, held up, or full.
+	// SignNone: the endpoint is silent, cut off, stalled or full, which says nothing.
 	SignNone Sign = iota
-	// SignBusy is a connection that was reset, as by an endpoint that takes no more.
+	// SignBusy: a connection was reset, as by an endpoint that accepts no more.
 	SignBusy
-	// SignLives is an answer of the process that the call was made to.
+	// SignLives: the process to which the call was made has answered.
 	SignLives
-	// SignRefused is that nothing listens at the endpoint's address.
+	// SignRefused: nothing listens at the endpoint's address.
 	SignRefused
-	// SignLater is an answer or a registration of a process that started later.
+	// SignLater: a process that started later has answered or registered.
 	SignLater
 )
 
-// Finding is what became of the process that a call was made to.
+// Finding is what happened to the process to which a call was made.
 type Finding uint8
 
-// The findings.
+// Kinds of findings.
 const (
 	FindingOpen  Finding = iota // not known yet
-	FindingLives                // it lives: the link, the host or the answer was at fault
-	FindingEnded                // it has ended
+	FindingLives                // it is alive: the link, the host or the answer was at fault
+	FindingEnded                // it has crashed
 )
 
-// AskFor is how long after a call broke off signs are looked for. A later start beyond that
-// tells nothing of what broke the call off. Endpoints that end refuse connections at once,
-// and start again after some seconds.
+// AskFor is how long evidence is looked for after a call broke off. A start later than that says
+// nothing about what broke the call off. Endpoints that crash refuse connections at once, and start
+// again after some seconds.
 const AskFor = 10 * time.Second
 
-// Judge says what a sign means. A broken connection alone is nothing: links are cut and
-// connections reset; so is silence, which half of a network has when it is cut off. planned
-// says that the endpoint was leaving when the call broke off: its end says nothing about
+// Judge returns what a piece of evidence means. A broken connection alone means nothing, as
+// links fail and connections are reset; neither does silence, which a partition causes as well.
+// planned says that the endpoint was leaving when the call broke off: its end says nothing about
 // what ran there.
 func (s Sign) Judge(planned bool) Finding {
 	switch {
@@ -48,8 +48,8 @@
 	return FindingOpen
 }
 
-// NextAsk returns how long after an ask the next one is made, a time after the call broke
-// off: soon at first, as each end that isn't known may cost another endpoint.
+// NextAsk returns the time from one poll for evidence to the next, given the time since the call
+// broke off. Polls are frequent at first, as each undetected crash may cost another endpoint.
 func NextAsk(since time.Duration) time.Duration {
 	if since < time.Second {
 		return 100 * time.Millisecond
--- a/quarantine/mark.go
+++ b/quarantine/mark.go
@@ -9,19 +9,19 @@
 	"github.com/embercove/embercove/request"
 )
 
-// Stage is what an endpoint did with a request as it ended. A request may end the endpoints
-// that read its prompt and be answered by those that read prompts by themselves, so a whole
-// answer clears only what it went through.
+// Stage is what an endpoint did with a request when it crashed. A request may crash the endpoints
+// that prefill its prompt and still be answered by those that do prefill themselves, so a complete
+// answer clears only the stages that it went through.
 type Stage uint8
 
-// The stages.
+// Kinds of stages.
 const (
-	Reading Stage = iota // a prefill engine read its prompt
-	Running              // its answer was written, or a plain service was called
+	Reading Stage = iota // a prefill engine processed its prompt
+	Running              // its answer was decoded, or a plain service was called
 	stages
 )
 
-// String returns the stage in words, as operators see it.
+// String returns the stage as operators see it.
 func (s Stage) String() string {
 	if s == Reading {
 		return "reading"
@@ -29,20 +29,19 @@
 	return "running"
 }
 
-// Mark counts the ends that speak against a request in one stage. Each host changes it by
-// itself, and the higher one holds everywhere, so that all come to the same whatever way
-// and order they are told in.
+// Mark is the failure mark of a request in one stage: it counts the crashes that speak against the
+// request. Each host changes it by itself, and the higher mark supersedes the lower one everywhere,
+// so that all hosts agree however and in whatever order marks reach them.
 type Mark struct {
-	Epoch uint32 // rises each time that the request is cleared
-	Ends  uint32 // since then
-	// Beside says that it was once there as an endpoint ended, and another request that had
-	// just begun explains that. Once is chance; the next one counts, and until then it runs
-	// at one place at a time.
+	Epoch uint32 // rises each time the request is cleared
+	Ends  uint32 // crashes since then
+	// Beside says that the request was a bystander of one crash that a young run explains. Once may
+	// be chance; the next crash counts, and until then the request runs at one place at a time.
 	Beside bool
 }
 
-// Below reports whether o tells of more than m.
-func (m Mark) Below(o Mark) bool {
+// Less reports whether o supersedes m.
+func (m Mark) Less(o Mark) bool {
 	switch {
 	case m.Epoch != o.Epoch:
 		return m.Epoch < o.Epoch
@@ -52,52 +51,52 @@
 	return !m.Beside && o.Beside
 }
 
-// clean reports whether nothing speaks against the request.
-func (m Mark) clean() bool { return m.Ends == 0 && !m.Beside }
+// isClear reports whether nothing speaks against the request.
+func (m Mark) isClear() bool { return m.Ends == 0 && !m.Beside }
 
-// after returns the mark that the end of a run makes. Runs that began with the same mark
-// make the same one of it: their ends are one event.
-func (r *Run) after() Mark { return Mark{Epoch: r.known.Epoch, Ends: r.known.Ends + 1} }
+// crashed returns the mark that a crash under the run makes. Runs that began with the same mark
+// make the same one: their crashes are one event.
+func (r *Run) crashed() Mark { return Mark{Epoch: r.startMark.Epoch, Ends: r.startMark.Ends + 1} }
 
-// beside returns the mark that an end makes which another request explains.
-func (r *Run) beside() Mark { return Mark{Epoch: r.known.Epoch, Beside: true} }
+// bystander returns the mark that a crash makes which another request explains.
+func (r *Run) bystander() Mark { return Mark{Epoch: r.startMark.Epoch, Beside: true} }
 
-// forgiven reports whether an end under a run may be explained by another request.
-func (r *Run) forgiven() bool { return r.Old && r.known.clean() }
+// explainable reports whether a crash under the run may be explained by another request.
+func (r *Run) explainable() bool { return r.Old && r.startMark.isClear() }
 
-// cleared is the mark of a request that was answered whole.
-func (m Mark) cleared() Mark { return Mark{Epoch: m.Epoch + 1} }
+// nextEpoch returns the mark of a request after it is cleared.
+func (m Mark) nextEpoch() Mark { return Mark{Epoch: m.Epoch + 1} }
 
-// Row tells other hosts of a mark.
+// Row is a mark in the form sent to other hosts.
 type Row struct {
 	Request   request.Fingerprint
 	Stage     Stage
 	Mark      Mark
-	Team      uint32  // number of its team
-	AgeMillis int64   // since the mark was made
-	Process   Process // that ended last under the request; 0: it was cleared
+	Team      uint32  // team number
+	AgeMillis int64   // time since the mark was made
+	Process   Process // that crashed last under the request; 0: the request was cleared
 	Endpoint  string  // its name
-	Host      string  // that saw it
-	Old       bool    // the request had not just begun there
+	Host      string  // that observed the crash
+	Old       bool    // the request was an old run there
 }
 
-// Process names one start of an endpoint, alike on all hosts.
+// Process names one start of an endpoint; the name is the same on all hosts.
 type Process uint64
 
-// ProcessOf returns the name of the process at an address that started at some moment.
+// ProcessOf returns the name of the process at an address that started at a given time.
 func ProcessOf(address string, born int64) Process {
 	return Process(xxhash.Sum64String(address + "/" + strconv.FormatInt(born, 10)))
 }
 
-// YoungFor is how long after a call was made its request counts as having just begun, if it
-// has brought a piece. One that has brought nothing yet has just begun however long that takes.
+// YoungFor is how long a run is young after its call was made, if it has brought an event. A run
+// that has brought nothing yet is young however long that takes.
 const YoungFor = 250 * time.Millisecond
 
 // Run is one call to an endpoint that runs a request.
 type Run struct {
-	Request request.Fingerprint
-	Stage   Stage
-	Team    uint32
-	Old     bool // it had been going on for some time when it broke off (YoungFor)
-	known   Mark // as it began
+	Request   request.Fingerprint
+	Stage     Stage
+	Team      uint32
+	Old       bool // it was no longer young when it broke off (YoungFor)
+	startMark Mark // the mark when it began
 }
--- a/quarantine/recent.go
+++ b/quarantine/recent.go
@@ -2,35 +2,35 @@
 
 import "time"
 
-// trustFor is for how long a whole answer speaks for a request. It bridges the time between
-// an end and the next whole answer to a request that many send alike, whose answers take
-// seconds; a request that has been answered and now ends endpoints, as after an upgrade of
-// these, is counted so much later.
+// trustFor is how long a complete answer counts in favour of a request. It bridges the time between
+// a crash and the next complete answer to a request that many callers send, whose answers take
+// seconds. A request that was answered and now crashes endpoints, as after an upgrade of these, is
+// counted so much later.
 const trustFor = 10 * time.Second
 
-// mostRecent is how many requests answered whole are remembered for half of trustFor or
-// more: some 100 a second, 0.3 MB. Of more the last ones are remembered.
-const mostRecent = 1024
+// maxRecent is how many completely answered requests are remembered for half of trustFor or more:
+// about 100 a second, 0.3 MB. Beyond that the latest ones are remembered.
+const maxRecent = 1024
 
-// recent remembers which requests were answered whole lately, in two generations.
+// recent remembers which requests were recently answered completely, in two generations.
 type recent struct {
-	young, old map[cellKey]time.Time
-	turned     time.Time // when the younger generation began
+	current, previous map[recordKey]time.Time
+	rotatedAt         time.Time // when the current generation began
 }
 
-// note takes in a whole answer.
-func (r *recent) note(k cellKey, now time.Time) {
-	if r.young == nil || len(r.young) >= mostRecent || now.Sub(r.turned) >= trustFor {
-		r.young, r.old, r.turned = map[cellKey]time.Time{}, r.young, now
+// add records a complete answer.
+func (r *recent) add(k recordKey, now time.Time) {
+	if r.current == nil || len(r.current) >= maxRecent || now.Sub(r.rotatedAt) >= trustFor {
+		r.current, r.previous, r.rotatedAt = map[recordKey]time.Time{}, r.current, now
 	}
-	r.young[k] = now
+	r.current[k] = now
 }
 
-// within reports whether a request was answered whole lately.
-func (r *recent) within(k cellKey, now time.Time) bool {
-	at, seen := r.young[k]
+// contains reports whether a request was recently answered completely.
+func (r *recent) contains(k recordKey, now time.Time) bool {
+	at, seen := r.current[k]
 	if !seen {
-		at, seen = r.old[k]
+		at, seen = r.previous[k]
 	}
 	return seen && now.Sub(at) < trustFor
 }
--- a/quarantine/rows.go
+++ b/quarantine/rows.go
@@ -10,36 +10,36 @@
 	"github.com/embercove/embercove/request"
 )
 
-// Learn takes in what another host told, and returns what all are to be told in turn: that
-// a request which is suspected elsewhere was answered whole here just now.
+// Learn applies rows from another host, and returns rows to send to all hosts in turn: those that
+// clear a request that is suspected elsewhere but was just answered completely here.
 func (r *Registry) Learn(rows []Row, now time.Time) (answer []Row) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, row := range rows {
 		if row.Stage >= stages || row.Request.IsZero() {
-			continue // of a later version
+			continue // from a later version
 		}
-		k := cellKey{row.Request, row.Stage}
+		k := recordKey{row.Request, row.Stage}
 		at := now.Add(-time.Duration(max(0, row.AgeMillis)) * time.Millisecond)
-		if !row.Mark.clean() && now.Sub(at) < eventKept {
-			r.events.suspect(row.Process, k, suspect{row.Mark.Epoch, !row.Old}, at)
+		if !row.Mark.isClear() && now.Sub(at) < crashTTL {
+			r.events.addSuspect(row.Process, k, suspect{row.Mark.Epoch, !row.Old}, at)
 		}
-		if !r.put(k, &cell{mark: row.Mark, at: at, team: row.Team, process: row.Process, old: row.Old, endpoint: row.Endpoint, host: row.Host}, now) {
+		if !r.put(k, &record{mark: row.Mark, at: at, team: row.Team, process: row.Process, old: row.Old, endpoint: row.Endpoint, host: row.Host}, now) {
 			continue
 		}
-		if !row.Mark.clean() && r.recent.within(k, now) {
+		if !row.Mark.isClear() && r.recent.contains(k, now) {
 			answer = append(answer, r.clear(k, now)...)
 		}
 	}
 	return append(answer, r.due(now)...)
 }
 
-// Rows returns all marks, the latest first, for a host that knows others.
+// Rows returns all marks, the latest first, for a host with a different set.
 func (r *Registry) Rows(now time.Time) []Row {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	rows := make([]Row, 0, len(r.cells))
-	for k, c := range r.cells {
+	rows := make([]Row, 0, len(r.records))
+	for k, c := range r.records {
 		rows = append(rows, c.row(k, now))
 	}
 	slices.SortFunc(rows, func(a, b Row) int { return int(a.AgeMillis - b.AgeMillis) })
@@ -56,19 +56,19 @@
 // rowsOf is RowsOf; the caller holds the lock.
 func (r *Registry) rowsOf(f request.Fingerprint, now time.Time) (rows []Row) {
 	for s := range stages {
-		k := cellKey{f, s}
-		if c := r.cells[k]; c != nil {
+		k := recordKey{f, s}
+		if c := r.records[k]; c != nil {
 			rows = append(rows, c.row(k, now))
 		}
 	}
 	return rows
 }
 
-// Sum returns a hash of all marks, which is the same on hosts that know the same; 0: none.
+// Sum returns a hash of all marks, which is equal on hosts with the same marks; 0: none.
 func (r *Registry) Sum() (sum uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for k, c := range r.cells {
+	for k, c := range r.records {
 		src := append(k.request[:], byte(k.stage))
 		src = binary.LittleEndian.AppendUint32(src, c.mark.Epoch)
 		src = binary.LittleEndian.AppendUint32(src, c.mark.Ends)
--- a/quarantine/verdict.go
+++ b/quarantine/verdict.go
@@ -9,94 +9,96 @@
 // Verdict says what a request may do.
 type Verdict uint8
 
-// The verdicts.
+// Kinds of verdicts.
 const (
 	Free    Verdict = iota // nothing speaks against it
-	Suspect                // it runs only by a trial
-	Resting                // it will be Suspect again after a rest
-	Blamed                 // it is refused
+	Suspect                // it runs only as a probe
+	Resting                // it backs off, and is Suspect again after that
+	Blamed                 // the crashes are attributed to it; it is refused
 )
 
-// String returns the verdict in words, as operators see it.
+// String returns the verdict as operators see it.
 func (v Verdict) String() string { return [...]string{"free", "suspect", "resting", "blamed"}[v] }
 
-// Counts and times of a verdict.
+// Thresholds and times of verdicts.
 const (
-	// mostEnds is after how many ends a request is blamed. One may be chance and two a run
-	// of bad luck; each costs an endpoint and what ran there besides.
-	mostEnds = 3
-	// aloneAfter is after how many ends a request runs beside no other suspect: the next
-	// end is the one that it is blamed for.
-	aloneAfter = mostEnds - 1
-	// mostChances is how often a blamed request is tried again: after firstChance, in case it
-	// was there by chance three times, and then each time after chanceGrowth times as long,
-	// as endpoints are replaced and models mended: 1, 5 and 25 minutes.
-	mostChances  = 3
-	firstChance  = time.Minute
-	chanceGrowth = 5
-	// sureAfter is how long after its third end a request rests before it is blamed: other
-	// ends, which go on without it, show by then that there are other causes.
-	sureAfter = 10 * time.Second
-	// mostOthers is how many ends within othersWithin of a request's last one, at which it
-	// wasn't, speak for other causes: beside many requests that each end endpoints, some that
-	// are sent again and again and do nothing are there three times by chance. Two requests that end endpoints at the same time have three such ends
-	// of each other. One among others isn't blamed; it rests, first for firstRest and then
-	// each time restGrowth times as long, so that one that does end endpoints is sent three
-	// times in the next 100 s, or until nothing else has ended for othersWithin: what ends
-	// then is its own doing.
-	mostOthers   = 4
-	othersWithin = 10 * time.Second
-	firstRest    = 3 * time.Second
-	restGrowth   = 3
+	// blameAt is the number of crashes at which a request is blamed. One may be chance and two bad
+	// luck; each costs an endpoint and whatever else ran there.
+	blameAt = 3
+	// aloneAt is the number of crashes from which on a request runs beside no other suspect: the
+	// next crash gets it blamed.
+	aloneAt = blameAt - 1
+	// maxRetries is how often a blamed request is tried again, in case it was there by chance three
+	// times, and as endpoints are replaced and models fixed. The first retry is after firstRetry,
+	// and each further one after retryGrowth times as long: 1, 5 and 25 minutes.
+	maxRetries  = 3
+	firstRetry  = time.Minute
+	retryGrowth = 5
+	// confirmAfter is how long a request backs off after its third crash before it is blamed: by
+	// then crashes that continue without it show that there are other causes.
+	confirmAfter = 10 * time.Second
+	// otherCauses is how many crashes, within otherWindow of a request's last one and without the
+	// request, indicate other causes. Beside many requests that each crash endpoints, some harmless
+	// requests that are sent again and again are there three times by chance. Two requests that
+	// crash endpoints at the same time see three such crashes of each other, so the threshold is
+	// higher than that.
+	// With other causes a request isn't blamed but backs off, first for firstBackoff and then each
+	// time backoffGrowth times as long. So one that does crash endpoints is sent three times in the
+	// next 100 s, or until nothing else has crashed for otherWindow: what crashes then is its own
+	// doing.
+	otherCauses   = 4
+	otherWindow   = 10 * time.Second
+	firstBackoff  = 3 * time.Second
+	backoffGrowth = 3
 )
 
-// Judge says what a request may do now, and how long it still rests.
+// Judge returns what a request may do now, and how long it still has to back off.
 func (r *Registry) Judge(f request.Fingerprint, now time.Time) (v Verdict, rest time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.judge(f, now)
+	return r.evaluate(f, now)
 }
 
-// judge is Judge; the caller holds the lock.
-func (r *Registry) judge(f request.Fingerprint, now time.Time) (v Verdict, rest time.Duration) {
-	if len(r.cells) == 0 {
+// evaluate is Evaluate; the caller holds the lock.
+func (r *Registry) evaluate(f request.Fingerprint, now time.Time) (v Verdict, backoff time.Duration) {
+	if len(r.records) == 0 {
 		return Free, 0
 	}
-	ends, last := r.ends(f)
+	crashCount, last := r.crashes(f)
 	switch {
-	case ends == 0 && !r.wasBeside(f):
+	case crashCount == 0 && !r.wasBystander(f):
 		return Free, 0
-	case ends < mostEnds, chanceDue(ends, now.Sub(last)):
+	case crashCount < blameAt, retryDue(crashCount, now.Sub(last)):
 		return Suspect, 0
 	}
-	others, latest := r.others(f, last)
-	until := last.Add(sureAfter)
-	if others >= mostOthers {
-		until = earlier(last.Add(grown(firstRest, restGrowth, ends-mostEnds)), latest.Add(othersWithin))
-		until = later(until, last.Add(firstRest))
+	otherCount, latestOther := r.otherCrashes(f, last)
+	until := last.Add(confirmAfter)
+	if otherCount >= otherCauses {
+		until = earlier(last.Add(scaled(firstBackoff, backoffGrowth, crashCount-blameAt)), latestOther.Add(otherWindow))
+		until = later(until, last.Add(firstBackoff))
 	}
-	switch rest = until.Sub(now); {
-	case rest > 0:
-		return Resting, rest
-	case others >= mostOthers:
+	switch backoff = until.Sub(now); {
+	case backoff > 0:
+		return Resting, backoff
+	case otherCount >= otherCauses:
 		return Suspect, 0
 	}
 	return Blamed, 0
 }
 
-// grown returns a time that has grown some times by a factor.
-func grown(d time.Duration, by, times int) time.Duration {
+// scaled returns d multiplied by a factor the given number of times.
+func scaled(d time.Duration, by, times int) time.Duration {
 	for range times {
 		d *= time.Duration(by)
 	}
 	return d
 }
 
-// others returns how many other ends there were about a request's last one, and when the
-// latest was; the caller holds the lock.
-func (r *Registry) others(f request.Fingerprint, last time.Time) (n int, latest time.Time) {
-	for _, e := range r.events.of {
-		if last.Sub(e.at).Abs() < othersWithin && !e.has(f) {
+// otherCrashes returns how many other crashes there were around the time of a request's last one,
+// and when the latest was. The caller holds the lock.
+func (r *Registry) otherCrashes(f request.Fingerprint, last time.Time) (n int, latest time.Time) {
+	for _, e := range r.events.byProcess {
+		if last.Sub(e.at).Abs() < otherWindow && !e.involves(f) {
 			n++
 			latest = later(latest, e.at)
 		}
@@ -104,8 +106,8 @@
 	return n, latest
 }
 
-// has reports whether a request was there as a process ended.
-func (e *event) has(f request.Fingerprint) bool {
+// involves reports whether a request was there when the process crashed.
+func (e *event) involves(f request.Fingerprint) bool {
 	for k := range e.suspects {
 		if k.request == f {
 			return true
@@ -114,22 +116,22 @@
 	return false
 }
 
-// wasBeside reports whether a request was there as an endpoint ended, though another explains
-// that; the caller holds the lock.
-func (r *Registry) wasBeside(f request.Fingerprint) bool {
+// wasBystander reports whether a request was there when an endpoint crashed, although another one
+// explains that. The caller holds the lock.
+func (r *Registry) wasBystander(f request.Fingerprint) bool {
 	for s := range stages {
-		if c := r.cells[cellKey{f, s}]; c != nil && c.mark.Beside {
+		if c := r.records[recordKey{f, s}]; c != nil && c.mark.Beside {
 			return true
 		}
 	}
 	return false
 }
 
-// ends returns how many ends speak against a request, and when the last was; the caller
-// holds the lock.
-func (r *Registry) ends(f request.Fingerprint) (n int, last time.Time) {
+// crashes returns how many crashes speak against a request, and when the last was. The caller holds
+// the lock.
+func (r *Registry) crashes(f request.Fingerprint) (n int, last time.Time) {
 	for s := range stages {
-		c := r.cells[cellKey{f, s}]
+		c := r.records[recordKey{f, s}]
 		if c == nil || c.mark.Ends == 0 {
 			continue
 		}
@@ -139,13 +141,13 @@
 	return n, last
 }
 
-// chanceDue reports whether a request that is blamed for so many ends may be tried again, so
-// long after the last.
-func chanceDue(ends int, since time.Duration) bool {
-	return ends < mostEnds+mostChances && since >= grown(firstChance, chanceGrowth, ends-mostEnds)
+// retryDue reports whether a request that is blamed for so many crashes may be tried again, given
+// the time since the last one.
+func retryDue(crashes int, since time.Duration) bool {
+	return crashes < blameAt+maxRetries && since >= scaled(firstRetry, retryGrowth, crashes-blameAt)
 }
 
-// earlier returns the earlier of two moments.
+// earlier returns the earlier of two times.
 func earlier(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
@@ -153,7 +155,7 @@
 	return b
 }
 
-// later returns the later of two moments.
+// later returns the later of two times.
 func later(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return b
