--- a/quarantine/evidence.go
+++ b/quarantine/evidence.go
@@ -7,15 +7,15 @@
 
 // Kinds of evidence.
 const (
-	// SignNone: the endpoint is silent, cut off, stalled or full, which says nothing.
+	// SignNone means that the endpoint is silent, cut off, stalled or full, which says nothing.
 	SignNone Sign = iota
-	// SignBusy: a connection was reset, as by an endpoint that accepts no more.
+	// SignBusy means that a connection was reset, as by an endpoint that accepts no more.
 	SignBusy
-	// SignLives: the process to which the call was made has answered.
+	// SignLives means that the process to which the call was made has answered.
 	SignLives
-	// SignRefused: nothing listens at the endpoint's address.
+	// SignRefused means that nothing listens at the endpoint's address.
 	SignRefused
-	// SignLater: a process that started later has answered or registered.
+	// SignLater means that a process that started later has answered or registered.
 	SignLater
 )
 
