--- a/pace/cold.go
+++ b/pace/cold.go
@@ -22,9 +22,9 @@
 	return max(1, perSecond*overrun+tolerance)
 }
 
-// ColdTerms returns the token bucket for a share of such a bound. Permits are used up to Lag late,
-// so the permits of ColdWindow plus Lag may all be used within one ColdWindow. A share of less than
-// one permit grants none: many hosts with one permit each would exceed any bound.
+// ColdTerms returns the bucket parameters for a share of such a bound. Permits are used up to Lag
+// late, so the permits of ColdWindow plus Lag may all be used within one ColdWindow. A share of
+// less than one permit grants none: many hosts with one permit each would exceed any bound.
 func ColdTerms(share float64) Terms {
 	if share < 1 {
 		return Terms{}
--- a/pace/limit.go
+++ b/pace/limit.go
@@ -15,9 +15,9 @@
 	minRate      = 2.0
 )
 
-// LimitTerms returns the token bucket for a host's vote share of the limit that an endpoint names,
-// in requests a second. The bucket grants the limit on average; an endpoint gets more than that
-// only when permits are used late.
+// LimitTerms returns the bucket parameters for a host's vote share of the limit that an endpoint
+// names, in requests a second. The bucket grants the limit on average; an endpoint gets more than
+// that only when permits are used late.
 func LimitTerms(perSecond, voteShare float64) Terms {
 	rate := max(perSecond, minLimit) * voteShare
 	if voteShare < minVoteShare && rate < minRate {
--- a/pace/limit_ways_test.go
+++ b/pace/limit_ways_test.go
@@ -13,10 +13,10 @@
 
 // limitStrategies returns the strategies for a limit; the package implements the first one.
 func limitStrategies(limit float64) []strategy {
-	even := func(f *fleet) float64 { return 1 / float64(len(f.hosts)) }
+	evenShare := func(f *fleet) float64 { return 1 / float64(len(f.hosts)) }
 	byOwner := func(voted bool, alone func(f *fleet, i int, at time.Duration) (time.Duration, bool)) func(f *fleet, i int, at time.Duration) (time.Duration, bool) {
 		return func(f *fleet, i int, at time.Duration) (time.Duration, bool) {
-			o, part := f.owner(i, at), 1.0
+			o, voteShare := f.owner(i, at), 1.0
 			if o != i {
 				f.messages += 2
 			}
@@ -24,13 +24,13 @@
 				return alone(f, i, at)
 			}
 			if voted {
-				part = f.hosts[o].granted.Part(epoch.Add(at))
+				voteShare = f.hosts[o].granted.Part(epoch.Add(at))
 			}
-			return f.hosts[o].bucket.Ask(epoch.Add(at), LimitTerms(limit, part), MostWait)
+			return f.hosts[o].bucket.Ask(epoch.Add(at), LimitTerms(limit, voteShare), MostWait)
 		}
 	}
-	lone := func(f *fleet, i int, at time.Duration) (time.Duration, bool) {
-		in, given := f.hosts[i].isolated.Ask(epoch.Add(at), limit, even(f))
+	isolated := func(f *fleet, i int, at time.Duration) (time.Duration, bool) {
+		in, given := f.hosts[i].isolated.Ask(epoch.Add(at), limit, evenShare(f))
 		return 0 * in, given
 	}
 	nothing := func(*fleet, int, time.Duration) (time.Duration, bool) { return 0, false }
@@ -39,12 +39,12 @@
 	}
 	none := func(*fleet, int, time.Duration) {}
 	return []strategy{
-		{"owner with votes, alone half of an even part", voteRounds(false), byOwner(true, lone)},
-		{"the same, votes kept as for cold ones", voteRounds(true), byOwner(true, lone)},
-		{"owner with votes, alone nothing", voteRounds(false), byOwner(true, nothing)},
-		{"owner without votes, alone half of an even part", none, byOwner(false, lone)},
-		{"each host its even part", none, func(f *fleet, i int, at time.Duration) (time.Duration, bool) {
-			return f.hosts[i].bucket.Ask(epoch.Add(at), Terms{1, limit * even(f)}, MostWait)
+		{"owner with votes, isolated hosts half of an even share", voteRounds(false), byOwner(true, isolated)},
+		{"the same, votes bind as for cold endpoints", voteRounds(true), byOwner(true, isolated)},
+		{"owner with votes, isolated hosts nothing", voteRounds(false), byOwner(true, nothing)},
+		{"owner without votes, isolated hosts half of an even share", none, byOwner(false, isolated)},
+		{"each host its even share", none, func(f *fleet, i int, at time.Duration) (time.Duration, bool) {
+			return f.hosts[i].bucket.Ask(epoch.Add(at), Terms{1, limit * evenShare(f)}, MostWait)
 		}},
 		{"each host the limit", none, all},
 	}
--- a/pace/lone.go
+++ b/pace/lone.go
@@ -7,7 +7,7 @@
 
 const (
 	// isolatedPart is the part of its even share of a limit that a host uses while it reaches no
-	// host that grants permits. The others may use the whole limit until they notice that it is
+	// host that grants permits. The others may use the whole limit until they consider this host
 	// gone, and many hosts may be cut off at once. Half a share keeps the sum below one and a half
 	// times the limit.
 	isolatedPart = 0.5
@@ -15,9 +15,9 @@
 	slotValidFor = time.Second
 )
 
-// Lone limits what a host without reachable owner sends to one endpoint. Send slots come
-// at times that differ from host to host and aren't saved up: otherwise, after a long partition,
-// each of hundreds of hosts would have one ready at the same instant.
+// Lone limits what a host sends to one endpoint while it can't reach the endpoint's owner. Send
+// slots come at times that differ from host to host and aren't saved up: otherwise, after a long
+// partition, each of hundreds of hosts would have one ready at the same instant.
 type Lone struct {
 	Phase float64 // in [0, 1), random for each host
 
--- a/pace/word.go
+++ b/pace/word.go
@@ -70,9 +70,9 @@
 	// penaltyFor is how long a report of a limit makes its endpoint the more expensive choice.
 	// After that a request may find out whether the limit still holds.
 	penaltyFor = 2 * time.Second
-	// After a limit ends, the endpoint is sent for rampDuration no more than an allowance that doubles
-	// every rampDouble: all hosts learn of the end at once, and the endpoint has less in progress
-	// than the others.
+	// For rampDuration after a limit ends the endpoint is sent no more than an allowance that
+	// doubles every rampDouble: all hosts learn of the end at once, and the endpoint has less in
+	// progress than the others.
 	rampDuration = 750 * time.Millisecond
 	rampDouble   = 125 * time.Millisecond
 	// minRampRate is the least rate at which the ramp begins, in requests a second.
@@ -105,8 +105,8 @@
 	return ChangeNone
 }
 
-// Restarted records the start time of the endpoint's current process. If that process is later
-// than the one of the newest report, nothing is known of it yet.
+// Restarted drops all that is known if the endpoint's current process started later than the
+// process of the newest report.
 func (b *Belief) Restarted(born int64) {
 	if born > b.report.Born && b.report.Born != 0 {
 		*b = Belief{}
--- a/pace/word_test.go
+++ b/pace/word_test.go
@@ -12,13 +12,13 @@
 // order. Both must end with the newest report of the newest process.
 func TestWords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var words []Word
+		var reports []Word
 		for range rapid.IntRange(1, 8).Draw(t, "words") {
-			words = append(words, Word{Named: rapid.Bool().Draw(t, "named"), PerSecond: float64(rapid.IntRange(0, 3).Draw(t, "limit")),
+			reports = append(reports, Word{Named: rapid.Bool().Draw(t, "named"), PerSecond: float64(rapid.IntRange(0, 3).Draw(t, "limit")),
 				At: epoch.Add(time.Duration(rapid.IntRange(1, 5000).Draw(t, "at")) * time.Millisecond), Born: int64(rapid.IntRange(1, 2).Draw(t, "born"))})
 		}
-		newest := words[0]
-		for _, w := range words[1:] {
+		newest := reports[0]
+		for _, w := range reports[1:] {
 			if w.Born > newest.Born || w.Born == newest.Born && w.At.After(newest.At) {
 				newest = w
 			}
@@ -26,7 +26,7 @@
 		var hosts [2]Belief
 		now := epoch.Add(time.Minute)
 		for i := range hosts {
-			for _, w := range rapid.Permutation(words).Draw(t, "order") {
+			for _, w := range rapid.Permutation(reports).Draw(t, "order") {
 				hosts[i].Hear(now, w)
 				other := hosts[i].Word().Tell(now).Word(now)
 				if rapid.Bool().Draw(t, "told") {
@@ -51,7 +51,7 @@
 	for _, tc := range []struct {
 		name    string
 		now     int
-		word    Word
+		report  Word
 		want    Change
 		limit   float64
 		bounded bool
@@ -73,7 +73,7 @@
 		{"a later process", 1600, Word{At: at(1550), Born: 2}, ChangeNone, 0, false},
 		{"the process before", 1700, Word{Named: true, PerSecond: 1, At: at(1700), Born: 1}, ChangeNone, 0, false},
 	} {
-		if got := b.Hear(at(tc.now), tc.word); got != tc.want {
+		if got := b.Hear(at(tc.now), tc.report); got != tc.want {
 			t.Errorf("%s: %s, want %s", tc.name, got, tc.want)
 		}
 		limit, bounded := b.Limit(at(tc.now))
--- a/quota/account_test.go
+++ b/quota/account_test.go
@@ -143,9 +143,9 @@
 // admitted before, plus the part of the limit that was free.
 func TestLone(t *testing.T) {
 	cases := []struct {
-		use         float64 // of the limit, before
-		before      float64 // a second on each of ten hosts
-		least, most float64 // a second in all, of 1000
+		use              float64 // of the limit, before
+		before           float64 // a second on each of ten hosts
+		minRate, maxRate float64 // a second in all, of 1000
 	}{{1, 100, 900, 1100}, {0.5, 50, 900, 1100}, {0.2, 20, 450, 1100}, {0, 0, 900, 1100}}
 	for _, tc := range cases {
 		t.Run(fmt.Sprint(tc.use), func(t *testing.T) {
@@ -161,8 +161,8 @@
 					}
 				}
 			}
-			if got := sum / 11; got < tc.least || got > tc.most { // ten seconds, and the burst
-				t.Errorf("%.0f a second admitted, want %.0f to %.0f", got, tc.least, tc.most)
+			if got := sum / 11; got < tc.minRate || got > tc.maxRate { // ten seconds, and the burst
+				t.Errorf("%.0f a second admitted, want %.0f to %.0f", got, tc.minRate, tc.maxRate)
 			}
 		})
 	}
@@ -174,11 +174,11 @@
 	r := Reach{Part: 1, Domains: []string{"b", "c"}}
 	team := Team{Number: 7, Limit: Limit{Rate: 100, Burst: 100}}
 	cases := []struct {
-		name  string
-		heard []string // other domains that reported
-		miss  []string // of these, unreachable later
-		asked float64  // seconds since another host's request; 0: none
-		want  bool
+		name        string
+		reported    []string // other domains that reported
+		unreachable []string // of these, unreachable later
+		asked       float64  // seconds since another host's request; 0: none
+		want        bool
 	}{
 		{"all is well", []string{"b", "c"}, nil, 0.1, false},
 		{"none ever reported", nil, nil, 0, false},
@@ -191,13 +191,13 @@
 		t.Run(tc.name, func(t *testing.T) {
 			s, now := NewAccounts(1), epoch.Add(time.Minute)
 			s.Ask(epoch, team, 1, r)
-			for _, d := range tc.heard {
+			for _, d := range tc.reported {
 				s.Hear(epoch, team, d, Word{Holder: 9}, r)
 			}
 			if tc.asked > 0 {
 				s.Asked(now.Add(-seconds(tc.asked)), team.Number)
 			}
-			for _, d := range tc.miss {
+			for _, d := range tc.unreachable {
 				s.Miss(now, team, d, r)
 			}
 			if got := s.CutOff(now, team.Number); got != tc.want {
