--- a/node/admin.go
+++ b/node/admin.go
@@ -49,7 +49,7 @@
 	_ = enc.Encode(v)
 }
 
-// ready is what the balancer asks.
+// ready answers the load balancer's readiness probe.
 func (n *Node) ready(w http.ResponseWriter, _ *http.Request) {
 	switch {
 	case n.Board.Leaving():
@@ -61,7 +61,7 @@
 	}
 }
 
-// RequestRow is a request in progress as operators see it.
+// RequestRow describes a request in progress.
 type RequestRow struct {
 	ID      string  `json:"id"`
 	Team    string  `json:"team"`
@@ -85,7 +85,7 @@
 	return out
 }
 
-// config shows the document in force, with defaults filled in.
+// config writes the document in force, with defaults filled in.
 func (n *Node) config(w http.ResponseWriter, _ *http.Request) {
 	v := n.Board.Config.View()
 	if v == nil {
@@ -112,37 +112,37 @@
 	Move       float64           `json:"move_s"`
 	Target     float64           `json:"ttft_target_s"`
 	Candidates []route.Candidate `json:"candidates"`
-	// Regions says of each other region whether the request would leave for it if its own
-	// refused it now.
+	// Regions says of each other region whether the request would be redirected to it if its
+	// own region refused it now.
 	Regions []entry.RegionChoice `json:"regions,omitempty"`
 }
 
 // explain answers for ?team=…&model=…&tokens=…&max_tokens=…&labels=k=v,k=v.
-func (n *Node) explain(w http.ResponseWriter, q *http.Request) {
+func (n *Node) explain(w http.ResponseWriter, r *http.Request) {
 	v := n.Board.Config.View()
 	if v == nil {
 		http.Error(w, "no configuration yet", http.StatusServiceUnavailable)
 		return
 	}
-	f := q.URL.Query()
-	labels := map[string]string{"team": f.Get("team"), "model": f.Get("model")}
-	if t := v.Teams[f.Get("team")]; t != nil {
+	query := r.URL.Query()
+	labels := map[string]string{"team": query.Get("team"), "model": query.Get("model")}
+	if t := v.Teams[query.Get("team")]; t != nil {
 		for k, val := range t.Labels {
 			labels[k] = val
 		}
 	}
-	for _, p := range strings.Split(f.Get("labels"), ",") {
+	for _, p := range strings.Split(query.Get("labels"), ",") {
 		if k, val, ok := strings.Cut(p, "="); ok {
 			labels[k] = val
 		}
 	}
-	tokens, _ := strconv.Atoi(f.Get("tokens"))
-	answer, _ := strconv.Atoi(f.Get("max_tokens"))
-	writeJSON(w, n.Explain(v, labels, tokens, answer))
+	tokens, _ := strconv.Atoi(query.Get("tokens"))
+	maxTokens, _ := strconv.Atoi(query.Get("max_tokens"))
+	writeJSON(w, n.Explain(v, labels, tokens, maxTokens))
 }
 
-// Explain works out where a request with the labels would go now.
-func (n *Node) Explain(v *config.View, labels map[string]string, tokens, answer int) Explanation {
+// Explain computes where a request with the labels would be routed now.
+func (n *Node) Explain(v *config.View, labels map[string]string, tokens, maxTokens int) Explanation {
 	ex := Explanation{Revision: v.Revision, Labels: labels, Target: v.Doc.Targets.TTFT().Seconds()}
 	if v.Teams[labels["team"]] == nil {
 		ex.Refusal = result.UnknownTeam.String()
@@ -158,12 +158,12 @@
 		return ex
 	}
 	ex.Route = r.Name
-	req := route.Request{Model: labels["model"], Tokens: tokens, MaxAnswer: answer, Home: v.DomainIndex(n.settings.Domain),
+	req := route.Request{Model: labels["model"], Tokens: tokens, MaxAnswer: maxTokens, Home: v.DomainIndex(n.settings.Domain),
 		Region: v.RegionSet(n.settings.Region), Homes: v.Homes(r.Route, v.Teams[labels["team"]]), Now: time.Now()}
 	hosts := n.Board.Hosts.Regions(req.Now)
 	n.Board.Endpoints.Read(func(fleet *route.Fleet) {
 		if fleet.View != v {
-			return // a revision came in between; the next call sees it
+			return // a new revision took effect since v was read; the next call uses it
 		}
 		req.Group = fleet.Group(r, "")
 		ex.Candidates = fleet.Explain(&req)
@@ -179,7 +179,7 @@
 		ex.Prefill, ex.Decode = c.Prefill.Name, c.Decode.Name
 		ex.Wait, ex.Read, ex.Move = c.Wait.Seconds(), c.Read.Seconds(), c.Move.Seconds()
 		if ex.Wait+ex.Read+ex.Move > ex.Target {
-			ex.Refusal = result.TooLate.String() + " by the last digests; the owner decides"
+			ex.Refusal = result.TooLate.String() + " according to the latest digests; the owner decides"
 		}
 	})
 	return ex
--- a/node/drain.go
+++ b/node/drain.go
@@ -8,23 +8,24 @@
 	"github.com/embercove/embercove/invariant"
 )
 
-// drainTick is how often a stopping node looks whether it is empty.
-const drainTick = 20 * time.Millisecond
+// drainPollInterval is how often a stopping node checks whether requests are still in progress.
+const drainPollInterval = 20 * time.Millisecond
 
-// graceSpare is how long before it would be killed a stopping node gives up
-// what is in progress. The steps after that take up to 0.85 s, and the last log
-// lines up to 0.2 s; the rest is for a host that is slow.
-const graceSpare = 1250 * time.Millisecond
+// shutdownReserve is how long before the process would be killed a stopping node
+// abandons the requests in progress. The steps after that take up to 0.85 s, and
+// writing the last log lines up to 0.2 s; the rest is a margin for a slow host.
+const shutdownReserve = 1250 * time.Millisecond
 
-// Drain is the planned stop: readiness goes first, owned endpoints are handed
-// over, requests in progress end, and then the node stops. It returns how
-// many requests were cut off, which is 0 unless drain_s ran out.
+// Drain performs a planned stop: the node reports that it isn't ready, hands over
+// the endpoints that it owns, waits for requests in progress and then stops. It
+// returns how many requests were cut off, which is 0 unless the time ran out:
+// drain_s, or stop_grace_s where that is set.
 func (n *Node) Drain() int {
 	deadline := time.Now().Add(config.Millis(n.settings.LameDuckMillis) + time.Duration(n.settings.DrainSeconds)*time.Second)
 	refuseAt := time.Now().Add(config.Millis(n.settings.LameDuckMillis))
 	if g := n.settings.GraceSeconds; g > 0 {
-		deadline = time.Now().Add(time.Duration(g*float64(time.Second)) - graceSpare)
-		refuseAt = deadline.Add(-refuseLast)
+		deadline = time.Now().Add(time.Duration(g*float64(time.Second)) - shutdownReserve)
+		refuseAt = deadline.Add(-refuseLead)
 		n.Board.SetStop(deadline)
 	}
 	n.Board.SetLeaving()
@@ -32,28 +33,28 @@
 	ctx, cancel := context.WithTimeout(context.Background(), config.Millis(n.settings.LameDuckMillis))
 	n.Router.Announce(ctx)
 	n.Owner.HandOver(ctx)
-	<-ctx.Done() // the balancer and the peers take the host out meanwhile
+	<-ctx.Done() // meanwhile the load balancer and the peers stop sending requests here
 	cancel()
 	for time.Now().Before(deadline) && n.Board.Requests.Len()+n.Owner.Waiting() > 0 {
 		if time.Now().After(refuseAt) {
 			n.Board.SetDraining()
 		}
-		time.Sleep(drainTick)
+		time.Sleep(drainPollInterval)
 	}
 	n.Board.SetDraining()
 	left := n.Board.Requests.Len()
 	n.Board.Invariant.Check(left == 0, invariant.DrainComplete, "%d requests in progress after drain_s", left)
-	ctx, cancel = context.WithTimeout(context.Background(), flushTime)
+	ctx, cancel = context.WithTimeout(context.Background(), flushTimeout)
 	n.Router.Flush(ctx)
 	cancel()
 	n.shutdown()
-	n.stopWithin(stopTime)
+	n.stopWithin(stopTimeout)
 	return left
 }
 
-// stopWithin stops, but doesn't wait for longer than d: what hangs ends with
-// the process.
-func (n *Node) stopWithin(d time.Duration) {
+// stopWithin calls Stop, but waits no longer than timeout for it. Goroutines that
+// hang end with the process.
+func (n *Node) stopWithin(timeout time.Duration) {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -61,31 +62,31 @@
 	}()
 	select {
 	case <-done:
-	case <-time.After(d):
-		n.log.Warn("stopped without waiting for all to end")
+	case <-time.After(timeout):
+		n.log.Warn("stopped before all goroutines ended")
 	}
 }
 
-// Bounds of the steps after the last request.
+// Time limits of the steps of a planned stop.
 const (
-	flushTime  = 150 * time.Millisecond
-	stopTime   = 300 * time.Millisecond
-	refuseLast = 1500 * time.Millisecond // before a set end, new requests are refused
+	flushTimeout = 150 * time.Millisecond  // of sending the last releases to owners
+	stopTimeout  = 300 * time.Millisecond  // of Stop
+	refuseLead   = 1500 * time.Millisecond // before the deadline that stop_grace_s sets, new requests are refused
 )
 
-// shutdownTime bounds the last writes of a stopping node.
-const shutdownTime = 400 * time.Millisecond
+// shutdownTimeout bounds how long a stopping node waits for handlers to write their last bytes.
+const shutdownTimeout = 400 * time.Millisecond
 
-// shutdown lets handlers that have just ended write their last bytes.
+// shutdown closes the HTTP servers, but lets handlers that are ending write their last bytes.
 func (n *Node) shutdown() {
-	ctx, cancel := context.WithTimeout(context.Background(), shutdownTime)
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	for _, s := range n.servers {
 		_ = s.Shutdown(ctx)
 	}
 }
 
-// Stop ends everything at once.
+// Stop closes all connections and ends all goroutines at once, without draining.
 func (n *Node) Stop() {
 	n.cancel()
 	for _, s := range n.servers {
--- a/node/evacuations.go
+++ b/node/evacuations.go
@@ -7,28 +7,28 @@
 	"github.com/embercove/embercove/route"
 )
 
-// EvacuationStatus is a failure domain that is being emptied.
+// EvacuationStatus is a failure domain that is being evacuated.
 type EvacuationStatus struct {
 	Domain   string          `json:"failure_domain"`
-	Since    float64         `json:"known_s"`  // for how long it is in force here
-	Revision config.Position `json:"revision"` // when it was published
-	From     string          `json:"from"`     // the store, or the peer that told
-	Running  int             `json:"running"`  // calls of this host that run there still
+	Since    float64         `json:"known_s"`  // for how long it has been in force here
+	Revision config.Position `json:"revision"` // at which it was published
+	From     string          `json:"from"`     // the store, or the peer that reported it
+	Running  int             `json:"running"`  // calls of this host that still run there
 }
 
-// evacuations lists the failure domains that are being emptied.
+// evacuations lists the failure domains that are being evacuated.
 func (n *Node) evacuations(now time.Time) []EvacuationStatus {
 	var out []EvacuationStatus
-	running := n.runningEmptied()
+	running := n.runningEvacuated()
 	for _, row := range n.Board.Emptied.List() {
 		out = append(out, EvacuationStatus{row.Domain, now.Sub(row.Since).Seconds(), row.Revision, row.From, running[row.Domain]})
 	}
 	return out
 }
 
-// runningEmptied returns how many calls of this host run at the endpoints of each failure
-// domain that is being emptied.
-func (n *Node) runningEmptied() map[string]int {
+// runningEvacuated returns how many calls of this host run at the endpoints of each failure
+// domain that is being evacuated.
+func (n *Node) runningEvacuated() map[string]int {
 	out := map[string]int{}
 	n.Board.Endpoints.Read(func(fleet *route.Fleet) {
 		for s := range fleet.All() {
@@ -40,13 +40,13 @@
 	return out
 }
 
-// evacuationGauges are of the failure domains that are being emptied.
+// evacuationGauges returns the metrics on failure domains that are being evacuated.
 func evacuationGauges(n *Node) []gauge {
 	return []gauge{
 		{"evacuations", "failure domains that are being emptied", false, func() float64 { return float64(len(n.Board.Emptied.List())) }},
 		{"evacuated_requests_running", "calls of this host that run in failure domains that are being emptied", false, func() float64 {
 			sum := 0
-			for _, r := range n.runningEmptied() {
+			for _, r := range n.runningEvacuated() {
 				sum += r
 			}
 			return float64(sum)
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -21,9 +21,9 @@
 	"github.com/embercove/embercove/route"
 )
 
-// metrics are the node's OpenTelemetry instruments, read by Prometheus. All
-// of them observe the tables when they are read; none is kept apart. No
-// label holds a team, of which there may be many.
+// metrics are the node's OpenTelemetry instruments, exported to Prometheus. Each
+// reads its value from the tables when it is scraped; none keeps a copy. No label
+// holds a team, as there may be many.
 type metrics struct {
 	provider *sdk.MeterProvider
 	handler  http.Handler
@@ -37,15 +37,15 @@
 		return nil, errors.Wrap(err, "metrics")
 	}
 	m := &metrics{provider: sdk.NewMeterProvider(sdk.WithReader(exp)), handler: promhttp.HandlerFor(reg, promhttp.HandlerOpts{})}
-	return m, errors.Wrap(observe(n, m.provider.Meter("embercove")), "metrics")
+	return m, errors.Wrap(registerMetrics(n, m.provider.Meter("embercove")), "metrics")
 }
 
 func (m *metrics) close() { _ = m.provider.Shutdown(context.Background()) }
 
-// gauge is one observed value without labels.
+// gauge is a metric without labels; it is a counter if isCounter is set.
 type gauge struct {
 	name, help string
-	counter    bool
+	isCounter  bool
 	read       func() float64
 }
 
@@ -63,7 +63,7 @@
 		{"fetches_done", "fetches from peers that were answered", true, func() float64 { return float64(n.Router.Fetches.Done.Load()) }},
 		{"fetches_failed", "fetches from peers that were not answered in time", true, func() float64 { return float64(n.Router.Fetches.Failed.Load()) }},
 		{"fetched_documents", "documents that peers sent, repeated ones included", true, func() float64 { return float64(n.Router.Fetches.Documents.Load()) }},
-		{"store_bytes_in", "bytes received from the platform's store", true, func() float64 { return float64(n.store.In.Load()) }},
+		{"store_bytes_in", "bytes received from the platform's store", true, func() float64 { return float64(n.storeTraffic.In.Load()) }},
 		{"control_calls", "calls made to peers", true, func() float64 { return float64(n.Router.Traffic.Calls.Load()) }},
 		{"endpoint_control_bytes", "bytes sent to and received from endpoints for control", true, func() float64 {
 			return float64(n.Client.Control.In.Load() + n.Client.Control.Out.Load())
@@ -101,8 +101,8 @@
 		}},
 		{"prefill_tokens", "prompt tokens read", true, func() float64 { return float64(n.Record.Sum().Prefilled) }},
 		{"prefill_tokens_wasted", "prompt tokens read for no answer", true, func() float64 { return float64(n.Record.Sum().Wasted) }},
-		{"log_lines_dropped", "log lines dropped because the output was not read", true, func() float64 { return n.logLines(LogLines.Dropped) }},
-		{"log_lines_written", "log lines written", true, func() float64 { return n.logLines(LogLines.Written) }},
+		{"log_lines_dropped", "log lines dropped because the output was not read", true, func() float64 { return n.logCount(LogCounter.Dropped) }},
+		{"log_lines_written", "log lines written", true, func() float64 { return n.logCount(LogCounter.Written) }},
 		{"log_lines_left_out", "log lines of requests left out to bound their number", true, func() float64 { return float64(n.entry.LinesLeftOut()) }},
 		{"roster_revision", "revision of the endpoints that registered themselves", false, func() float64 { return float64(n.Board.Config.RosterRevision().Revision()) }},
 		{"roster_era", "how often the store has come back from a copy, by its own count", false, func() float64 { return float64(n.Board.Config.RosterRevision().Era()) }},
@@ -112,11 +112,11 @@
 	}
 }
 
-func (n *Node) logLines(count func(LogLines) uint64) float64 {
-	if n.lines == nil {
+func (n *Node) logCount(count func(LogCounter) uint64) float64 {
+	if n.logCounter == nil {
 		return 0
 	}
-	return float64(count(n.lines))
+	return float64(count(n.logCounter))
 }
 
 func (n *Node) liveHosts() float64 {
@@ -129,14 +129,14 @@
 	return float64(live)
 }
 
-func observe(n *Node, meter metric.Meter) error {
+func registerMetrics(n *Node, meter metric.Meter) error {
 	for _, g := range append(gauges(n), evacuationGauges(n)...) {
 		cb := func(_ context.Context, o metric.Float64Observer) error {
 			o.Observe(g.read())
 			return nil
 		}
 		var err error
-		if g.counter {
+		if g.isCounter {
 			_, err = meter.Float64ObservableCounter(g.name, metric.WithDescription(g.help), metric.WithFloat64Callback(cb))
 		} else {
 			_, err = meter.Float64ObservableGauge(g.name, metric.WithDescription(g.help), metric.WithFloat64Callback(cb))
@@ -145,27 +145,27 @@
 			return err
 		}
 	}
-	if err := observeRegions(n, meter); err != nil {
+	if err := registerRegions(n, meter); err != nil {
 		return err
 	}
-	return observeLabelled(n, meter)
+	return registerLabelled(n, meter)
 }
 
-// observeBuckets tells a distribution as cumulative counts.
+// observeBuckets reports a histogram as cumulative counts.
 func observeBuckets(o metric.Float64Observer, row entry.Latency) {
-	below := uint64(0)
-	for i, c := range row.Counts {
-		below += c
+	cumulative := uint64(0)
+	for i, count := range row.Counts {
+		cumulative += count
 		le := "+Inf"
 		if i < len(row.Bounds()) {
 			le = strconv.FormatFloat(row.Bounds()[i], 'g', -1, 64)
 		}
-		o.Observe(float64(below), metric.WithAttributes(attribute.String("kind", row.Kind.String()), attribute.String("le", le)))
+		o.Observe(float64(cumulative), metric.WithAttributes(attribute.String("kind", row.Kind.String()), attribute.String("le", le)))
 	}
 }
 
-// observeSpent registers what is spent with other hosts, by purpose.
-func observeSpent(n *Node, m metric.Meter) error {
+// registerPurposes registers the counters of traffic with other hosts, by purpose.
+func registerPurposes(n *Node, m metric.Meter) error {
 	for _, g := range []struct {
 		name, help string
 		read       func(s *meter.Spent) uint64
@@ -188,9 +188,9 @@
 	return nil
 }
 
-// observeLabelled registers the values with a label of few values.
-func observeLabelled(n *Node, meter metric.Meter) error {
-	if err := observeSpent(n, meter); err != nil {
+// registerLabelled registers the metrics with labels. Each label takes few values.
+func registerLabelled(n *Node, meter metric.Meter) error {
+	if err := registerPurposes(n, meter); err != nil {
 		return err
 	}
 	_, err := meter.Float64ObservableCounter("requests_ended", metric.WithDescription("requests ended, by result code"),
--- a/node/node.go
+++ b/node/node.go
@@ -1,6 +1,6 @@
-// Package node puts one entry host together: the tables, the controllers and
-// the three listeners. cmd/embercoved runs one; tests and trials run several
-// in a process.
+// Package node assembles an entry host: the tables, the controllers and the
+// listeners for callers, peers and operators. cmd/embercoved runs one node; tests
+// and trials run several in a process.
 package node
 
 import (
@@ -28,27 +28,27 @@
 	"github.com/embercove/embercove/result"
 )
 
-// Node is one entry host.
+// Node is an entry host.
 type Node struct {
 	Board  *blackboard.Board
 	Owner  *owner.Owner
 	Router *peer.Router
 	Record *report.Recorder
 
-	settings *config.Settings
-	Client   *endpoint.Client // of the project's own protocol
-	engine   endpoint.Engine
-	feed     publish.Feed
-	front    func(e *entry.Entry) http.Handler
-	store    *meter.Traffic  // with the store that the feed reads
-	platform *publish.Client // nil where a feed was given
-	entry    *entry.Entry
-	metrics  *metrics
-	lines    LogLines // nil: not counted
-	copies   copies.Policy
-	log      *zap.Logger
-	listen   func(address string) (net.Listener, error)
-	dial     endpoint.Dial
+	settings      *config.Settings
+	Client        *endpoint.Client // speaks embercove's own protocol
+	engine        endpoint.Engine
+	feed          publish.Feed
+	newHandler    func(e *entry.Entry) http.Handler
+	storeTraffic  *meter.Traffic  // with the store that feed reads
+	platform      *publish.Client // nil if a feed was given
+	entry         *entry.Entry
+	metrics       *metrics
+	logCounter    LogCounter // nil: log lines aren't counted
+	replicaPolicy copies.Policy
+	log           *zap.Logger
+	listen        func(address string) (net.Listener, error)
+	dial          endpoint.Dial
 
 	pool    *blackboard.Pool
 	servers []*http.Server
@@ -56,32 +56,32 @@
 	cancel  context.CancelFunc
 	failed  chan error
 	// suspended is how long the machine had been suspended when beliefs were last dropped;
-	// set under the lock of Board.Pause.
-	suspended time.Duration
+	// written under the lock of Board.Pause.
+	suspendedAtDrop time.Duration
 }
 
-// Option changes how a node is put together.
+// Option changes how a node is assembled.
 type Option func(*Node)
 
-// WithLog sets the logger; without it nothing is logged.
+// WithLog sets the logger. By default nothing is logged.
 func WithLog(l *zap.Logger) Option { return func(n *Node) { n.log = l } }
 
-// LogLines counts log lines.
-type LogLines interface {
+// LogCounter counts log lines.
+type LogCounter interface {
 	Dropped() uint64
 	Written() uint64
 }
 
-// WithLogLines has the metrics tell of the log's lines.
-func WithLogLines(l LogLines) Option { return func(n *Node) { n.lines = l } }
+// WithLogLines exports the counts of log lines as metrics.
+func WithLogLines(l LogCounter) Option { return func(n *Node) { n.logCounter = l } }
 
-// WithNetwork sets how the node listens and dials; without it TCP is used.
+// WithNetwork sets how the node listens and dials. By default it uses TCP.
 func WithNetwork(listen func(address string) (net.Listener, error), dial endpoint.Dial) Option {
 	return func(n *Node) { n.listen, n.dial = listen, dial }
 }
 
-// Protocol is what a node speaks to the outside, instead of the project's own
-// protocols.
+// Protocol replaces embercove's own protocols with engines, the platform and
+// callers.
 type Protocol struct {
 	Engine endpoint.Engine
 	Feed   publish.Feed
@@ -89,22 +89,23 @@
 	Front  func(e *entry.Entry) http.Handler // the callers' interface
 }
 
-// WithProtocol has the node speak p.
+// WithProtocol makes the node speak p instead of embercove's own protocols.
 func WithProtocol(p Protocol) Option {
-	return func(n *Node) { n.engine, n.feed, n.front, n.store = p.Engine, p.Feed, p.Front, p.Store }
+	return func(n *Node) { n.engine, n.feed, n.newHandler, n.storeTraffic = p.Engine, p.Feed, p.Front, p.Store }
 }
 
-// WithFatal has broken invariants call f, for tests.
+// WithFatal sets a function that is called when an invariant is broken, for tests.
 func WithFatal(f func(msg string)) Option {
 	return func(n *Node) { n.Board.Invariant.Fatal = f }
 }
 
-// WithCopies has other answers get copies of their memory than copies.Standing says.
-func WithCopies(p copies.Policy) Option { return func(n *Node) { n.copies = p } }
+// WithCopies replaces copies.Standing, the policy that decides which running requests get
+// a replica of their KV cache.
+func WithCopies(p copies.Policy) Option { return func(n *Node) { n.replicaPolicy = p } }
 
 // New returns a node that isn't running yet.
 func New(s *config.Settings, opts ...Option) (*Node, error) {
-	n := &Node{settings: s, Board: blackboard.New(s), Record: report.NewRecorder(), log: zap.NewNop(), suspended: clock.Suspended(), store: new(meter.Traffic), failed: make(chan error, 4), copies: copies.Standing,
+	n := &Node{settings: s, Board: blackboard.New(s), Record: report.NewRecorder(), log: zap.NewNop(), suspendedAtDrop: clock.Suspended(), storeTraffic: new(meter.Traffic), failed: make(chan error, 4), replicaPolicy: copies.Standing,
 		listen: func(a string) (net.Listener, error) { return net.Listen("tcp", a) }}
 	for _, o := range opts {
 		o(n)
@@ -118,12 +119,12 @@
 	n.Owner = owner.New(n.Board, n.engine, n.log)
 	n.Router = peer.NewRouter(n.Board, n.Owner, peer.Dial(n.dial), n.log)
 	n.entry = entry.New(n.Board, n.engine, n.Router, n.Record, n.log)
-	n.entry.CopyPolicy = n.copies
+	n.entry.CopyPolicy = n.replicaPolicy
 	if n.feed == nil {
 		n.platform = publish.NewClient(s.Platform, n.dial)
 	}
-	if n.front == nil {
-		n.front = (*entry.Entry).Handler
+	if n.newHandler == nil {
+		n.newHandler = (*entry.Entry).Handler
 	}
 	m, err := newMetrics(n)
 	if err != nil {
@@ -131,16 +132,16 @@
 	}
 	n.metrics = m
 	n.Router.Accepted, n.Router.Emptied = func(v *config.View) { n.Record.SetTargets(v.Doc.Targets) }, n.Owner.Empty
-	n.pool = blackboard.NewPool(n.Board, n.Router.Flusher(), n.Owner.Poller(), n.Router.Exchanger(), n.Router.Watcher(), n.Router.KeySweeper(), n.Router.Seeder(), n.Router.Lapser(), n.Router.Prober(), n.Owner.Balancer(), n.Owner.StartsWatch(), n.Router.Settler(), n.Router.MarksSweeper(), n.processWatch())
-	n.Board.Pause.OnWake(n.dropBeliefs)
+	n.pool = blackboard.NewPool(n.Board, n.Router.Flusher(), n.Owner.Poller(), n.Router.Exchanger(), n.Router.Watcher(), n.Router.KeySweeper(), n.Router.Seeder(), n.Router.Lapser(), n.Router.Prober(), n.Owner.Balancer(), n.Owner.StartsWatch(), n.Router.Settler(), n.Router.MarksSweeper(), n.processLogger())
+	n.Board.Pause.OnWake(n.dropStaleState)
 	return n, nil
 }
 
-// dropBeliefs forgets what may have become false while the process was
-// paused. The owner's books are dropped by the owner itself.
-func (n *Node) dropBeliefs(now time.Time) {
-	suspended := clock.Suspended() - n.suspended
-	n.suspended += suspended
+// dropStaleState discards state that may have become outdated while the process was
+// paused. The owner drops its schedulers itself.
+func (n *Node) dropStaleState(now time.Time) {
+	suspended := clock.Suspended() - n.suspendedAtDrop
+	n.suspendedAtDrop += suspended
 	n.log.Warn("the process was paused; beliefs are dropped", zap.Int("code", int(result.ProcessPaused)), zap.Duration("suspended", suspended))
 	n.Board.Config.Older(suspended)
 	n.entry.EndLate()
@@ -151,8 +152,8 @@
 	n.Board.Quotas.Drop()
 }
 
-// Start opens the listeners and starts the controllers. It returns at once;
-// Stop ends what it started.
+// Start opens the listeners and starts the controllers. It returns at once; Stop
+// ends them.
 func (n *Node) Start() error {
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel = cancel
@@ -162,7 +163,7 @@
 		return errors.Wrap(err, "peers_address")
 	}
 	n.goRun(func() error { return n.Router.Serve(ctx, peers) })
-	if err := n.serve(n.settings.Callers, "callers_address", n.front(n.entry)); err != nil {
+	if err := n.serve(n.settings.Callers, "callers_address", n.newHandler(n.entry)); err != nil {
 		return err
 	}
 	if err := n.serve(n.settings.Admin, "admin_address", n.admin()); err != nil {
@@ -175,7 +176,7 @@
 	}
 	n.goRun(func() error { n.Router.Seed(ctx, n.settings.Seeds); return nil })
 	if n.feed != nil {
-		n.goRun(func() error { n.feed.Follow(ctx, sink{n, ctx}); return nil })
+		n.goRun(func() error { n.feed.Follow(ctx, feedSink{n, ctx}); return nil })
 	} else {
 		n.goRun(func() error { n.watchConfig(ctx); return nil })
 		n.goRun(func() error { n.watchHosts(ctx); return nil })
@@ -185,6 +186,7 @@
 	return nil
 }
 
+// goRun runs f in a goroutine that Stop waits for and delivers its error to Failed.
 func (n *Node) goRun(f func() error) {
 	n.wg.Add(1)
 	go func() {
@@ -198,7 +200,7 @@
 	}()
 }
 
-// Failed delivers the error of a listener that broke.
+// Failed delivers the error of a listener that failed.
 func (n *Node) Failed() <-chan error { return n.failed }
 
 func (n *Node) serve(address, field string, h http.Handler) error {
--- a/node/process.go
+++ b/node/process.go
@@ -10,11 +10,12 @@
 	"github.com/embercove/embercove/blackboard"
 )
 
-// processEvery is how often the process logs what it holds.
-const processEvery = 10 * time.Second
+// processLogInterval is how often the resource usage of the process is logged.
+const processLogInterval = 10 * time.Second
 
-// holdings are the runtime's metrics of what the process holds, by the name of their field.
-var holdings = []struct{ field, metric string }{
+// processMetrics are the runtime metrics of memory and goroutines that are logged, each with
+// its log field.
+var processMetrics = []struct{ field, metric string }{
 	{"heap_live_bytes", "/gc/heap/live:bytes"},
 	{"heap_bytes", "/memory/classes/heap/objects:bytes"},
 	{"heap_free_bytes", "/memory/classes/heap/free:bytes"},
@@ -24,17 +25,17 @@
 	{"collections", "/gc/cycles/total:gc-cycles"},
 }
 
-// processWatch returns the controller that logs what the process holds, so that one which
-// grew too large can be told from its last lines.
-func (n *Node) processWatch() blackboard.Controller {
-	samples := make([]runtimemetrics.Sample, len(holdings))
-	for i, h := range holdings {
+// processLogger returns the controller that logs the resource usage of the process, so that
+// the last log lines of a process that ran out of memory show what had grown.
+func (n *Node) processLogger() blackboard.Controller {
+	samples := make([]runtimemetrics.Sample, len(processMetrics))
+	for i, h := range processMetrics {
 		samples[i].Name = h.metric
 	}
-	return blackboard.Every(processEvery, func(context.Context) {
+	return blackboard.Every(processLogInterval, func(context.Context) {
 		runtimemetrics.Read(samples)
 		fields := make([]zap.Field, 0, len(samples)+4)
-		for i, h := range holdings {
+		for i, h := range processMetrics {
 			if samples[i].Value.Kind() == runtimemetrics.KindUint64 {
 				fields = append(fields, zap.Uint64(h.field, samples[i].Value.Uint64()))
 			}
--- a/node/regions.go
+++ b/node/regions.go
@@ -11,26 +11,26 @@
 	"github.com/embercove/embercove/region"
 )
 
-// RegionStatus is another region as a host sees it.
+// RegionStatus is the state of a remote region as this host sees it.
 type RegionStatus struct {
 	Region string       `json:"region"`
-	Trip   float64      `json:"trip_ms"` // of a message there and back
-	Left   uint64       `json:"left"`    // requests that left for it
-	Quiet  bool         `json:"quiet"`   // an owner there said nothing just now
+	Trip   float64      `json:"trip_ms"` // round trip of a message
+	Left   uint64       `json:"left"`    // requests redirected to it
+	Quiet  bool         `json:"quiet"`   // avoided: an owner there didn't answer just now
 	Pools  []PoolStatus `json:"pools"`
 }
 
-// PoolStatus is what is known of a pool in another region.
+// PoolStatus is what is known of a pool in a remote region.
 type PoolStatus struct {
 	Pool   string  `json:"pool"`
-	Places uint32  `json:"places"` // that it offers to all other regions
+	Places uint32  `json:"places"` // capacity that it offers to all other regions
 	Wait   float64 `json:"wait_ms"`
-	Age    float64 `json:"age_s"` // -1: never told of
-	Trust  float64 `json:"trust"` // what the summary is worth, from 1 to 0
-	Sent   int     `json:"sent"`  // by this host since the summary was true
+	Age    float64 `json:"age_s"` // of the latest summary; -1: none was received
+	Trust  float64 `json:"trust"` // weight of the summary, which falls with its age from 1 to 0
+	Sent   int     `json:"sent"`  // requests that this host has sent since the summary was made
 }
 
-// regions lists the other regions.
+// regions lists the remote regions.
 func (n *Node) regions(v *config.View, now time.Time) (out []RegionStatus) {
 	for _, name := range v.RegionNames {
 		if name == n.settings.Region {
@@ -56,16 +56,16 @@
 	return out
 }
 
-// poolNames returns the names of the pools with endpoints in a region; of endpoints without
-// a pool, that of their model.
-func poolNames(v *config.View, in string) (names []string) {
+// poolNames returns the names of the pools with endpoints in a region. For endpoints without
+// a pool it is the name of their model.
+func poolNames(v *config.View, regionName string) (names []string) {
 	seen := map[string]bool{}
 	for _, e := range v.Endpoints.All() {
 		name := e.Pool
 		if name == "" {
 			name = e.Model
 		}
-		if v.Region[e.Domain] == in && !seen[name] {
+		if v.Region[e.Domain] == regionName && !seen[name] {
 			seen[name] = true
 			names = append(names, name)
 		}
@@ -73,9 +73,10 @@
 	return names
 }
 
-// observeRegions registers what is counted by pair of regions, and by reason. A document
-// names 63 regions at the most, and the first of a pair is this host's.
-func observeRegions(n *Node, meter metric.Meter) error {
+// registerRegions registers the counters of redirected requests by pair of regions, and of
+// requests not redirected by reason. There are few pairs: a document names at most 63 regions,
+// and the first of a pair is always this host's.
+func registerRegions(n *Node, meter metric.Meter) error {
 	_, err := meter.Float64ObservableCounter("region_left", metric.WithDescription("requests that left this host's region for another"),
 		metric.WithFloat64Callback(func(_ context.Context, o metric.Float64Observer) error {
 			v := n.Board.Config.View()
--- a/node/reload.go
+++ b/node/reload.go
@@ -7,19 +7,20 @@
 	"github.com/embercove/embercove/config"
 )
 
-// Reload takes over what of new settings can change while the node runs: the
-// seeds and the retry budget. It returns the names of fields that changed and
-// hold from the next start only.
-func (n *Node) Reload(s *config.Settings) (later []string) {
+// Reload applies those of the new settings that can change while the node runs:
+// the seeds and the retry budget. It returns the names of other fields that have
+// changed, which take effect only after a restart. The log level isn't among them:
+// the caller sets it.
+func (n *Node) Reload(s *config.Settings) (needRestart []string) {
 	n.Router.SetSeeds(s.Seeds)
 	n.entry.SetRetryBudget(s.RetryBudget)
 	old := *n.settings
 	old.Seeds, old.RetryBudget, old.LogLevel = s.Seeds, s.RetryBudget, s.LogLevel
-	return changed(&old, s)
+	return changedFields(&old, s)
 }
 
-// changed returns the names of the fields in which two settings differ.
-func changed(a, b *config.Settings) []string {
+// changedFields returns the JSON names of the fields in which two settings differ.
+func changedFields(a, b *config.Settings) []string {
 	va, vb := reflect.ValueOf(*a), reflect.ValueOf(*b)
 	var names []string
 	for i := range va.NumField() {
--- a/node/status.go
+++ b/node/status.go
@@ -11,7 +11,7 @@
 	"github.com/embercove/embercove/route"
 )
 
-// Status is what one host says of itself and of what it sees.
+// Status is the state of a host and of the cluster as it sees it.
 type Status struct {
 	Host      string                  `json:"host"`
 	Domain    string                  `json:"failure_domain"`
@@ -23,7 +23,7 @@
 	Endpoints []EndpointStatus        `json:"endpoints"`
 	Evacuated []EvacuationStatus      `json:"evacuations,omitempty"`
 	Quotas    []QuotaStatus           `json:"quotas"`
-	Regions   []RegionStatus          `json:"regions,omitempty"` // the other ones
+	Regions   []RegionStatus          `json:"regions,omitempty"` // remote ones
 	Sum       report.Sum              `json:"sum"`
 	TTFT      report.Quantiles        `json:"ttft"`
 	TPOT      report.Quantiles        `json:"tpot"`
@@ -32,7 +32,7 @@
 	Broken    map[string]uint64       `json:"invariants_broken"`
 }
 
-// HostStatus is one entry host as another sees it.
+// HostStatus is the state of an entry host as this host sees it.
 type HostStatus struct {
 	Host    string  `json:"host"`
 	Domain  string  `json:"failure_domain"`
@@ -42,40 +42,41 @@
 	Silent  float64 `json:"silent_s"`
 }
 
-// EndpointStatus is one endpoint as a host sees it.
+// EndpointStatus is the state of an endpoint as this host sees it.
 type EndpointStatus struct {
 	Endpoint string      `json:"endpoint"`
 	Role     config.Role `json:"role"`
 	Domain   string      `json:"failure_domain"`
-	Owner    string      `json:"owner"` // empty: no live host in its domain
+	Owner    string      `json:"owner"` // empty: there is no live host in its failure domain
 	State    string      `json:"state"`
 	Queue    uint32      `json:"queue_ms"`
 	Free     int32       `json:"free_tokens"`
 	Slots    int32       `json:"free_slots"`
 	Slow     float64     `json:"slow"`
 	Failing  uint8       `json:"failing_pct"`
-	Age      float64     `json:"digest_age_s"` // -1: never heard of
-	Cold     float64     `json:"cold_s"`       // for which it is or may be cold still; 0: it is warm
-	Starts   uint64      `json:"starts"`       // that this host has given out there while it was cold or named a limit
-	Refused  uint64      `json:"starts_refused"`
-	// Limit is how many requests a second the endpoint names that it takes; nil: it names none.
+	Age      float64     `json:"digest_age_s"`   // -1: no digest was received
+	Cold     float64     `json:"cold_s"`         // how long it may still be cold; 0: it is warm
+	Starts   uint64      `json:"starts"`         // permits that this host granted while the endpoint was cold or announced a limit
+	Refused  uint64      `json:"starts_refused"` // permits
+	// Limit is the number of requests a second that the endpoint announced as its limit; nil:
+	// it announced none.
 	Limit      *float64 `json:"limit_per_s,omitempty"`
-	LimitSince float64  `json:"limit_since_s,omitempty"` // for how long
+	LimitSince float64  `json:"limit_since_s,omitempty"` // how long ago it was announced
 }
 
-// QuotaStatus is a team's quota in a failure domain, as the host that holds it there
-// sees it. Figures are in the quota's unit.
+// QuotaStatus is a team's quota in a failure domain, as seen by the host that holds it
+// there. Figures are in the quota's unit.
 type QuotaStatus struct {
 	Team    string   `json:"team"`
-	Rate    float64  `json:"rate"` // a second, over all hosts
-	Free    float64  `json:"free"` // 0 and below: requests are refused
-	Used    float64  `json:"used"` // let in a second, lately, in this failure domain
-	Asked   float64  `json:"asked"`
-	Use     float64  `json:"use"` // part of the rate that is let in everywhere
-	Unheard []string `json:"unheard,omitempty"`
+	Rate    float64  `json:"rate"`              // limit per second, over all hosts
+	Free    float64  `json:"free"`              // what is left; at 0 and below requests are refused
+	Used    float64  `json:"used"`              // recently admitted per second in this failure domain
+	Asked   float64  `json:"asked"`             // recently requested per second in this failure domain
+	Use     float64  `json:"use"`               // share of the rate that is admitted in all failure domains together
+	Unheard []string `json:"unheard,omitempty"` // failure domains that can't be reached
 }
 
-// Status returns what PathStatus shows.
+// Status returns what PathStatus serves.
 func (n *Node) Status() Status {
 	now := time.Now()
 	ttft, tpot := n.Record.Times()
--- a/node/suspects.go
+++ b/node/suspects.go
@@ -10,20 +10,20 @@
 	"github.com/embercove/embercove/request"
 )
 
-// SuspectRow is a request under which endpoints ended, as operators see it.
+// SuspectRow describes a request that endpoints crashed under, as operators see it.
 type SuspectRow struct {
 	Request  string  `json:"fingerprint"`
 	Stage    string  `json:"stage"`
 	Team     string  `json:"team"`
 	Verdict  string  `json:"verdict"`
-	Rest     float64 `json:"rest_s"` // until it may be tried again; 0: now, or not at all
+	Rest     float64 `json:"rest_s"` // seconds until it may be tried again; 0: now, or never
 	Ends     uint32  `json:"ends"`
-	Endpoint string  `json:"endpoint"` // that ended last
+	Endpoint string  `json:"endpoint"` // that crashed last
 	SeenBy   string  `json:"seen_by"`
 	Age      float64 `json:"age_s"`
 }
 
-// suspects lists the requests that something speaks against.
+// suspects lists the requests with a failure mark.
 func (n *Node) suspects() []SuspectRow {
 	out := []SuspectRow{}
 	now := clock.Now()
@@ -38,32 +38,33 @@
 	return out
 }
 
-// teamName returns the name of the team of a number, as far as the configuration knows it.
-func (n *Node) teamName(number uint32) string {
-	if v := n.Board.Config.View(); v != nil && v.TeamByNumber[number] != nil {
-		return v.TeamByNumber[number].Name
+// teamName returns the name of the team with a number, or "" if the configuration doesn't have it.
+func (n *Node) teamName(teamNumber uint32) string {
+	if v := n.Board.Config.View(); v != nil && v.TeamByNumber[teamNumber] != nil {
+		return v.TeamByNumber[teamNumber].Name
 	}
 	return ""
 }
 
-// clearSuspect clears a request, here and on all other hosts: POST ?fingerprint=F.
-func (n *Node) clearSuspect(w http.ResponseWriter, q *http.Request) {
-	f, err := request.ParseFingerprint(q.URL.Query().Get("fingerprint"))
+// clearSuspect removes the failure mark of a request, here and on all other hosts:
+// POST ?fingerprint=F.
+func (n *Node) clearSuspect(w http.ResponseWriter, r *http.Request) {
+	fingerprint, err := request.ParseFingerprint(r.URL.Query().Get("fingerprint"))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	rows := n.Board.Suspects.Clear(f, clock.Now())
+	rows := n.Board.Suspects.Clear(fingerprint, clock.Now())
 	if len(rows) == 0 {
-		http.Error(w, "fingerprint "+f.String()+": nothing speaks against it", http.StatusNotFound)
+		http.Error(w, "fingerprint "+fingerprint.String()+": it has no failure mark", http.StatusNotFound)
 		return
 	}
 	n.Router.TellMarks(rows)
-	n.log.Info("request cleared by an operator", zap.Stringer("fingerprint", f))
+	n.log.Info("request cleared by an operator", zap.Stringer("fingerprint", fingerprint))
 	writeJSON(w, rowsCleared(rows))
 }
 
-// rowsCleared names the stages in which a request was cleared.
+// rowsCleared returns the stages for which a request was cleared.
 func rowsCleared(rows []quarantine.Row) (stages []string) {
 	for _, r := range rows {
 		if r.Mark.Ends == 0 {
--- a/node/watch.go
+++ b/node/watch.go
@@ -8,34 +8,34 @@
 	"go.uber.org/zap"
 )
 
-// Watches of the platform. One waiting watch counts as one call there, so a
-// host makes about two calls in watchWait, and one more for each change.
+// Times of the watches of the platform. A waiting watch counts there as one call, so a
+// host makes about two calls in watchTimeout, and one more for each change.
 const (
-	watchWait   = 30 * time.Second
-	backoffMin  = 200 * time.Millisecond
-	backoffMax  = 10 * time.Second
-	staleWait   = time.Second // before asking a replica again that is behind
-	jitterShare = 0.3
+	watchTimeout    = 30 * time.Second
+	minBackoff      = 200 * time.Millisecond
+	maxBackoff      = 10 * time.Second
+	staleRetryDelay = time.Second // before a platform replica that is behind is asked again
+	jitterShare     = 0.3
 )
 
-// jittered spreads d by jitterShare to both sides, so that a fleet that was
-// cut off doesn't come back all at once.
+// jittered returns d plus or minus a random share of up to jitterShare, so that the
+// hosts of a fleet that was cut off don't all reconnect at once.
 func jittered(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 - jitterShare + 2*jitterShare*rand.Float64()))
 }
 
-// watch repeats one until ctx ends: at once after success, with a growing
-// wait after failures.
-func (n *Node) watch(ctx context.Context, what string, one func(ctx context.Context, wait time.Duration) (pause time.Duration, err error)) {
-	backoff := backoffMin
+// watch repeats poll until ctx ends. After a success it waits for the pause that poll
+// returns, after failures for a growing backoff.
+func (n *Node) watch(ctx context.Context, name string, poll func(ctx context.Context, wait time.Duration) (pause time.Duration, err error)) {
+	backoff := minBackoff
 	for ctx.Err() == nil {
-		pause, err := one(ctx, jittered(watchWait))
+		pause, err := poll(ctx, jittered(watchTimeout))
 		if err != nil {
-			n.log.Debug("platform is out of reach", zap.String("watch", what), zap.Error(err))
+			n.log.Debug("platform is out of reach", zap.String("watch", name), zap.Error(err))
 			pause = jittered(backoff)
-			backoff = min(2*backoff, backoffMax)
+			backoff = min(2*backoff, maxBackoff)
 		} else {
-			backoff = backoffMin
+			backoff = minBackoff
 			n.Board.Config.Heard(time.Now())
 		}
 		if pause > 0 {
@@ -49,15 +49,15 @@
 
 func (n *Node) watchConfig(ctx context.Context) {
 	n.watch(ctx, "config", func(ctx context.Context, wait time.Duration) (time.Duration, error) {
-		in := n.Board.Config.Revision()
-		after := max(in, n.Board.Config.Rejected())
+		inForce := n.Board.Config.Revision()
+		after := max(inForce, n.Board.Config.Rejected())
 		r, err := n.platform.Config(ctx, after, wait)
 		if err != nil || r == nil {
 			return 0, err
 		}
 		n.Router.Offer(r.Revision, []byte(r.Document), "platform")
 		if r.Revision <= after {
-			return jittered(staleWait), nil // a replica that is behind
+			return jittered(staleRetryDelay), nil // a replica that is behind
 		}
 		return 0, nil
 	})
@@ -71,7 +71,7 @@
 			return 0, err
 		}
 		if l.Version <= version {
-			return jittered(staleWait), nil
+			return jittered(staleRetryDelay), nil
 		}
 		version = l.Version
 		n.Router.Listed(l)
