--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,8 +1,8 @@
-// Package clock tells the time with what passed while the machine was suspended.
+// Package clock provides a time that includes the time for which the machine was suspended.
 //
-// time.Now measures by CLOCK_MONOTONIC, which stands still while a machine is suspended.
-// What has to have an age (a lease, a deadline of a caller, an entry of a table) is younger
-// than it should be by that time when the machine wakes. Now moves on with CLOCK_BOOTTIME.
+// time.Now measures durations by CLOCK_MONOTONIC, which stops while a machine is suspended.
+// After a resume the age of a lease, a caller's deadline or a table entry would be too small
+// by the length of the suspension. Now follows CLOCK_BOOTTIME, which doesn't stop.
 package clock
 
 import (
@@ -12,41 +12,41 @@
 	"golang.org/x/sys/unix"
 )
 
-// atStart is how long the machine had been suspended, since it booted, when the process
-// started.
-var atStart = sinceBoot()
+// suspendedAtStart is how long the machine had been suspended between its boot and the start
+// of the process.
+var suspendedAtStart = suspendedSinceBoot()
 
-// sinceBoot returns how long the machine has been suspended since it booted: what
-// CLOCK_BOOTTIME counts beyond CLOCK_MONOTONIC. Where the kernel doesn't tell, it is 0.
-func sinceBoot() time.Duration {
-	var boot, steady unix.Timespec
-	if unix.ClockGettime(unix.CLOCK_MONOTONIC, &steady) != nil || unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot) != nil {
+// suspendedSinceBoot returns how long the machine has been suspended since it booted: the
+// difference between CLOCK_BOOTTIME and CLOCK_MONOTONIC. It is 0 if the kernel lacks one of them.
+func suspendedSinceBoot() time.Duration {
+	var boot, monotonic unix.Timespec
+	if unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonic) != nil || unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot) != nil {
 		return 0
 	}
-	return time.Duration(boot.Nano() - steady.Nano())
+	return time.Duration(boot.Nano() - monotonic.Nano())
 }
 
-// leastSuspension is what counts as a suspension. The two clocks are read one after the
-// other, so that their difference moves a little where nothing happened.
-const leastSuspension = 10 * time.Millisecond
+// minSuspension is the shortest difference that counts as a suspension. The two clocks are
+// read one after the other, so their difference varies a little without any suspension.
+const minSuspension = 10 * time.Millisecond
 
-// pretended is what tests have added.
-var pretended atomic.Int64
+// simulated is the suspension that tests have added, in nanoseconds.
+var simulated atomic.Int64
 
-// Pretend has the machine count as having been suspended for so much longer, for tests: the
+// Pretend adds d to the time that the machine counts as suspended. It is for tests, as the
 // kernel's clocks can't be set.
-func Pretend(d time.Duration) { pretended.Add(int64(d)) }
+func Pretend(d time.Duration) { simulated.Add(int64(d)) }
 
 // Suspended returns how long the machine has been suspended since the process started.
 func Suspended() time.Duration {
-	d := sinceBoot() - atStart
-	if d < leastSuspension {
+	d := suspendedSinceBoot() - suspendedAtStart
+	if d < minSuspension {
 		d = 0
 	}
-	return d + time.Duration(pretended.Load())
+	return d + time.Duration(simulated.Load())
 }
 
-// Now returns the present as time.Now does, moved on by the time for which the machine was
-// suspended. Differences between two such times count suspensions; a difference to one of
-// time.Now does not mean anything.
+// Now returns time.Now plus the time for which the machine was suspended. The difference
+// between two such times includes suspensions. The difference to a time from time.Now is
+// meaningless.
 func Now() time.Time { return time.Now().Add(Suspended()) }
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// TestNow checks that time passes as by time.Now where nothing was suspended: the machine
-// that runs the test isn't, and clocks that are read one after the other are no suspension.
+// TestNow checks that Now advances like time.Now while the machine isn't suspended. The
+// small difference that comes from reading the two clocks one after the other must not
+// count as a suspension.
 func TestNow(t *testing.T) {
 	if d := Suspended(); d != 0 {
 		t.Errorf("suspended for %v", d)
 	}
-	began, steady := Now(), time.Now()
+	start, monotonicStart := Now(), time.Now()
 	time.Sleep(20 * time.Millisecond)
-	if took, want := Now().Sub(began), time.Since(steady); took < want-leastSuspension || took > want+leastSuspension {
-		t.Errorf("%v passed, %v by the steady clock", took, want)
+	if elapsed, want := Now().Sub(start), time.Since(monotonicStart); elapsed < want-minSuspension || elapsed > want+minSuspension {
+		t.Errorf("%v passed, %v by the monotonic clock", elapsed, want)
 	}
 }
 
-// BenchmarkNow measures what a reading costs: time.Now alone takes some 40 ns.
+// BenchmarkNow measures the cost of a call; time.Now alone takes about 40 ns.
 func BenchmarkNow(b *testing.B) {
 	for b.Loop() {
 		Now()
