--- a/invariant/invariant.go
+++ b/invariant/invariant.go
@@ -1,8 +1,8 @@
-// Package invariant asserts what must always hold inside the running program.
+// Package invariant checks conditions that must always hold in the running program.
 //
-// A broken invariant is counted, logged under result code 500 and, in tests,
-// fatal. It never stops a serving process: the promise is already broken, and
-// stopping would break others.
+// A violation is counted, logged with result code 500 and, in tests, fatal. It
+// never stops a serving process: the promise is already broken, and stopping
+// would break others.
 package invariant
 
 import (
@@ -14,45 +14,45 @@
 	"github.com/embercove/embercove/result"
 )
 
-// Name names an invariant; it is the label of the metric.
+// Name is the name of an invariant and the value of its metric label.
 type Name string
 
-// The invariants. docs/PROMISES.md says which promise each belongs to, and which
-// promises have none in the program.
+// The invariants. docs/PROMISES.md lists the promise that each belongs to, and the
+// promises that have no invariant in the program.
 const (
 	TokenOnce       Name = "token_sent_once"        // a caller sees each token once, in order
-	AnswerOnce      Name = "request_answered_once"  // a request ends once
-	OwnAnswer       Name = "answer_of_own_attempt"  // relayed bytes belong to the current attempt
-	NotRunClean     Name = "not_run_did_not_run"    // a not-run refusal follows no started attempt
-	SingleRun       Name = "not_repeatable_once"    // a not-repeatable request starts once
-	RevisionRises   Name = "revision_rises"         // the revision in force never falls
-	LeavingNoWork   Name = "leaving_no_new_work"    // no new work goes to an endpoint known to leave
-	DrainComplete   Name = "drain_complete"         // a planned stop ends with no request in progress
-	CompleteMarked  Name = "complete_only_if_whole" // a clean end follows a whole answer only
-	BudgetedRetries Name = "retries_within_budget"  // a request is tried no more often than the configuration allows
+	AnswerOnce      Name = "request_answered_once"  // a request ends only once
+	OwnAnswer       Name = "answer_of_own_attempt"  // relayed bytes come from the current attempt
+	NotRunClean     Name = "not_run_did_not_run"    // a request refused as not run had no started attempt
+	SingleRun       Name = "not_repeatable_once"    // a request that isn't repeatable is started at most once
+	RevisionRises   Name = "revision_rises"         // the revision in force never decreases
+	LeavingNoWork   Name = "leaving_no_new_work"    // no new work is sent to an endpoint that is known to be leaving
+	DrainComplete   Name = "drain_complete"         // no request is in progress at the end of a planned stop
+	CompleteMarked  Name = "complete_only_if_whole" // a response is terminated cleanly only if it is complete
+	BudgetedRetries Name = "retries_within_budget"  // a request has no more attempts than the configuration allows
 )
 
-// Set counts broken invariants of one process. The zero value works and is
-// silent apart from counting.
+// Set counts the broken invariants of a process. The zero value is ready to use;
+// it only counts.
 type Set struct {
-	Log   *zap.Logger
-	Fatal func(msg string) // set by tests
-	mu    sync.Mutex
-	n     map[Name]uint64
+	Log    *zap.Logger
+	Fatal  func(msg string) // set by tests
+	mu     sync.Mutex
+	counts map[Name]uint64
 }
 
-// Check records a broken invariant when ok is false and returns ok. The
-// detail is formatted only then.
+// Check records a broken invariant if ok is false, and returns ok. The detail is
+// formatted only in that case.
 func (s *Set) Check(ok bool, name Name, format string, args ...any) bool {
 	if ok {
 		return true
 	}
 	msg := fmt.Sprintf(format, args...)
 	s.mu.Lock()
-	if s.n == nil {
-		s.n = make(map[Name]uint64)
+	if s.counts == nil {
+		s.counts = make(map[Name]uint64)
 	}
-	s.n[name]++
+	s.counts[name]++
 	fatal := s.Fatal
 	s.mu.Unlock()
 	if s.Log != nil {
@@ -69,8 +69,8 @@
 func (s *Set) Counts() map[Name]uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := make(map[Name]uint64, len(s.n))
-	for k, v := range s.n {
+	out := make(map[Name]uint64, len(s.counts))
+	for k, v := range s.counts {
 		out[k] = v
 	}
 	return out
