--- a/meter/meter.go
+++ b/meter/meter.go
@@ -1,5 +1,5 @@
-// Package meter counts what connections carry, so that the cost of control can
-// be measured where it arises.
+// Package meter counts the traffic of connections, so that the overhead of control
+// traffic can be measured at its source.
 package meter
 
 import (
@@ -8,11 +8,11 @@
 	"sync/atomic"
 )
 
-// PacketOverhead is what TCP and IPv4 add to each packet, in bytes, with the
-// timestamp option. A write of a control message is one packet.
+// PacketOverhead is the size of the TCP and IPv4 headers of a packet in bytes, with
+// the TCP timestamp option. A control message is written as one packet.
 const PacketOverhead = 52
 
-// Traffic counts bytes of payload and writes. The zero value works.
+// Traffic counts payload bytes, reads, writes and calls. The zero value is ready to use.
 type Traffic struct {
 	In, Out atomic.Uint64
 	Writes  atomic.Uint64
@@ -20,20 +20,21 @@
 	Calls   atomic.Uint64
 }
 
-// Fetches counts calls that fetch what is newer elsewhere. The zero value works.
+// Fetches counts the calls that fetch newer documents and rosters from peers. The zero
+// value is ready to use.
 type Fetches struct {
 	Done, Failed atomic.Uint64
-	Documents    atomic.Uint64 // documents that came, the same one several times included
+	Documents    atomic.Uint64 // documents received, duplicates included
 }
 
-// OnWire returns the bytes sent and received with the overhead of packets and
-// of their acknowledgements.
+// OnWire returns the bytes sent and received, including the headers of packets and
+// acknowledgements.
 func (t *Traffic) OnWire() uint64 {
 	packets := t.Writes.Load() + t.Reads.Load()
 	return t.In.Load() + t.Out.Load() + packets*PacketOverhead
 }
 
-// Conn counts a connection's traffic.
+// Conn is a connection whose traffic is counted in T.
 type Conn struct {
 	net.Conn
 	T *Traffic
@@ -55,10 +56,10 @@
 	return n, err
 }
 
-// Dial is how connections are opened.
+// Dial is a function that opens connections.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Counted returns a dial whose connections are counted.
+// Counted wraps a Dial so that the traffic of its connections is counted in t.
 func Counted(dial Dial, t *Traffic) Dial {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := dial(ctx, network, address)
--- a/meter/purpose.go
+++ b/meter/purpose.go
@@ -2,47 +2,47 @@
 
 import "sync/atomic"
 
-// Purpose is what calls between hosts are for. What a host spends is counted by it, so
-// that what grows with the fleet can be told from what grows with the requests.
+// Purpose is the reason for a call between hosts. Traffic is counted by purpose, so that
+// the part that grows with the fleet can be told from the part that grows with the requests.
 type Purpose int
 
 // The purposes.
 const (
-	Exchange Purpose = iota // heartbeats and digests, with one host a round
-	News                    // exchanges without digests: what must be in force soon, names
-	Members                 // exchanges with every heartbeat
+	Exchange Purpose = iota // heartbeats and digests, exchanged with one host per round
+	News                    // exchanges without digests: changes that must take effect soon, and names
+	Members                 // exchanges that carry every host's heartbeat
 	Fetch                   // documents and rosters
-	Owners                  // turns, reservations and releases at endpoints' owners
-	Books                   // what owners tell and ask each other: books, claims, kept prompts
-	Quotas                  // teams' quotas
+	Owners                  // queue admissions, reservations and releases at the owners of endpoints
+	Books                   // calls between owners: handovers of schedulers, claims, cached prompts
+	Quotas                  // quotas of teams
 	Keys                    // idempotency keys
-	Pings                   // signs of life
-	purposes
+	Pings                   // liveness probes
+	purposeCount
 )
 
-// String returns the name that metrics have.
+// String returns the value of the metric label.
 func (p Purpose) String() string {
-	return [purposes]string{"exchange", "news", "members", "fetch", "owners", "books", "quotas", "keys", "pings"}[p]
+	return [purposeCount]string{"exchange", "news", "members", "fetch", "owners", "books", "quotas", "keys", "pings"}[p]
 }
 
 // Purposes returns all purposes.
 func Purposes() []Purpose {
-	out := make([]Purpose, purposes)
+	out := make([]Purpose, purposeCount)
 	for i := range out {
 		out[i] = Purpose(i)
 	}
 	return out
 }
 
-// Spent is what a host has spent on one purpose: bytes of messages without packets, and
-// calls that it made and that it answered.
+// Spent counts a host's traffic for one purpose: bytes of messages without packet headers,
+// and the calls that it made and that it answered.
 type Spent struct {
 	In, Out        atomic.Uint64
 	Made, Answered atomic.Uint64
 }
 
-// Ledger counts by purpose. The zero value works.
-type Ledger [purposes]Spent
+// Ledger counts traffic by purpose. The zero value is ready to use.
+type Ledger [purposeCount]Spent
 
 // Of returns the counters of a purpose.
 func (l *Ledger) Of(p Purpose) *Spent { return &l[p] }
