--- a/logsink/logsink.go
+++ b/logsink/logsink.go
@@ -1,8 +1,8 @@
-// Package logsink writes log lines without ever holding up who logs them.
+// Package logsink writes log lines without ever blocking the caller that logs them.
 //
-// Lines wait in a buffer of fixed size for one writer of their own. When a
-// reader of the output is slow or gone and the buffer is full, further lines
-// are dropped and counted; the count is told in the next line that is written.
+// Lines are queued in a buffer of fixed size and written by a goroutine. If the reader
+// of the output is slow or gone and the buffer is full, further lines are dropped and
+// counted; a line with their number follows the next lines that are written.
 package logsink
 
 import (
@@ -12,7 +12,7 @@
 	"sync/atomic"
 )
 
-// DefaultBytes is the size of the buffer that New gives a sink.
+// DefaultBytes is the default size of the buffer of a sink.
 const DefaultBytes = 1 << 20
 
 // Sink is a zapcore.WriteSyncer that doesn't block. Use New.
@@ -22,18 +22,18 @@
 	dropped atomic.Uint64
 	writes  atomic.Uint64
 
-	mu      sync.Mutex
-	waiting [][]byte
-	size    int
-	told    uint64 // dropped lines that were told of
-	closed  bool
-	wake    chan struct{}
-	quit    chan struct{}
-	done    chan struct{}
+	mu            sync.Mutex
+	queued        [][]byte
+	size          int
+	reportedDrops uint64 // dropped lines that were already reported in the output
+	closed        bool
+	wake          chan struct{}
+	quit          chan struct{}
+	done          chan struct{}
 }
 
-// New returns a sink that writes to out and holds limit bytes at the most; 0
-// stands for DefaultBytes.
+// New returns a sink that writes to out and queues at most limit bytes; 0 means
+// DefaultBytes.
 func New(out io.Writer, limit int) *Sink {
 	if limit == 0 {
 		limit = DefaultBytes
@@ -43,7 +43,7 @@
 	return s
 }
 
-// Write takes a line over. It never fails and never waits for the output.
+// Write queues a copy of line. It never fails and never waits for the output.
 func (s *Sink) Write(line []byte) (int, error) {
 	s.mu.Lock()
 	if s.closed || s.size+len(line) > s.limit {
@@ -51,7 +51,7 @@
 		s.dropped.Add(1)
 		return len(line), nil
 	}
-	s.waiting = append(s.waiting, append([]byte(nil), line...))
+	s.queued = append(s.queued, append([]byte(nil), line...))
 	s.size += len(line)
 	s.mu.Unlock()
 	select {
@@ -70,8 +70,8 @@
 // Written returns how many lines were written.
 func (s *Sink) Written() uint64 { return s.writes.Load() }
 
-// Close writes what still waits and ends the writer. The returned channel is
-// closed when it has; a reader that stopped for good holds that up.
+// Close has the queued lines written and ends the writing goroutine. The returned
+// channel is closed when that is done, which is never if nobody reads the output.
 func (s *Sink) Close() <-chan struct{} {
 	s.mu.Lock()
 	if !s.closed {
@@ -82,14 +82,15 @@
 	return s.done
 }
 
-// take returns the lines that wait, and one that tells of dropped ones.
-func (s *Sink) take() (lines [][]byte) {
+// takeLines empties the queue and returns its lines, followed by a report of newly dropped
+// lines if there are any.
+func (s *Sink) takeLines() (lines [][]byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	lines, s.waiting, s.size = s.waiting, nil, 0
-	if n := s.dropped.Load(); n > s.told {
-		lines = append(lines, fmt.Appendf(nil, `{"level":"warn","msg":"log lines dropped","lines":%d}`+"\n", n-s.told))
-		s.told = n
+	lines, s.queued, s.size = s.queued, nil, 0
+	if n := s.dropped.Load(); n > s.reportedDrops {
+		lines = append(lines, fmt.Appendf(nil, `{"level":"warn","msg":"log lines dropped","lines":%d}`+"\n", n-s.reportedDrops))
+		s.reportedDrops = n
 	}
 	return lines
 }
@@ -108,7 +109,7 @@
 }
 
 func (s *Sink) flush() {
-	lines := s.take()
+	lines := s.takeLines()
 	for _, line := range lines {
 		if _, err := s.out.Write(line); err == nil {
 			s.writes.Add(1)
