--- a/cmd/embercove-fake/main.go
+++ b/cmd/embercove-fake/main.go
@@ -1,5 +1,5 @@
-// Command embercove-fake runs a stand-in as a process of its own, for tests
-// and trials: the platform, a model runner, or a plain service.
+// Command embercove-fake runs a stand-in for the platform, a model runner or a plain
+// service as a separate process, for tests and trials.
 package main
 
 import (
@@ -20,7 +20,7 @@
        embercove-fake app      -listen IP:PORT -name NAME [-takes DURATION] [-faults JSON]
 
 Stand-ins for tests and trials. Faults are set by -faults or by POST
-/control/faults; GET /control/truth tells what happened. The platform takes
+/control/faults; GET /control/truth returns what happened. The platform takes
 POST /control/publish, /control/hosts, /control/down?v=1, /control/stale?rev=N.
 `
 
@@ -53,7 +53,7 @@
 	if err := fs.Parse(args); err != nil {
 		return err
 	}
-	h, err := handler(role, o)
+	h, err := newHandler(role, o)
 	if err != nil {
 		return err
 	}
@@ -65,7 +65,7 @@
 	return http.Serve(l, h)
 }
 
-func handler(role string, o options) (http.Handler, error) {
+func newHandler(role string, o options) (http.Handler, error) {
 	var f fake.Faults
 	if err := json.Unmarshal([]byte(o.faults), &f); err != nil {
 		return nil, fmt.Errorf("-faults: %w", err)
@@ -113,7 +113,7 @@
 	}
 	spec := v.Endpoint(o.endpoint)
 	if spec == nil || spec.Role == config.Service {
-		return nil, fmt.Errorf("-endpoint %q: no runner of the document", o.endpoint)
+		return nil, fmt.Errorf("-endpoint %q: the document has no such runner", o.endpoint)
 	}
 	r := fake.NewRunner(*spec, v.Models[spec.Model].KVBytesPerToken, v.WantVersion(spec), nil)
 	r.SetFaults(f)
--- a/cmd/embercove/main.go
+++ b/cmd/embercove/main.go
@@ -1,4 +1,4 @@
-// Command embercove is the operators' tool.
+// Command embercove is the command-line tool for operators.
 package main
 
 import (
--- a/cmd/embercoved/cluster_test.go
+++ b/cmd/embercoved/cluster_test.go
@@ -25,9 +25,9 @@
 	"github.com/embercove/embercove/publish"
 )
 
-// patience bounds every wait of these tests. It is no measure: a wait that
-// takes a second or twenty gives the same verdict.
-const patience = 40 * time.Second
+// waitLimit bounds every wait of these tests. It isn't a performance bound: whether a
+// wait takes one second or twenty, the verdict is the same.
+const waitLimit = 40 * time.Second
 
 var (
 	buildOnce sync.Once
@@ -35,7 +35,7 @@
 	buildErr  error
 )
 
-// binaries builds the programs once.
+// binaries builds the programs on the first call and returns their folder.
 func binaries(t *testing.T) string {
 	t.Helper()
 	buildOnce.Do(func() {
@@ -62,7 +62,7 @@
 	os.Exit(code)
 }
 
-// process is one program that a test started.
+// process is a program that a test has started, with its output.
 type process struct {
 	*exec.Cmd
 	out  *bytes.Buffer
@@ -71,26 +71,26 @@
 
 func (p *process) signal(s syscall.Signal) { _ = p.Process.Signal(s) }
 
-// kill ends the process at once and waits for it.
+// kill sends SIGKILL and waits for the end of the process.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
 	<-p.done
 }
 
-// procs is a deployment of separate processes.
-type procs struct {
-	t        *testing.T
-	dir      string
-	doc      *config.Document
-	platform string
-	hosts    []*process
-	settings []*config.Settings
-	runners  map[string]*process
+// cluster is a deployment in which every host, endpoint and the platform is a process.
+type cluster struct {
+	t         *testing.T
+	dir       string
+	doc       *config.Document
+	platform  string
+	hosts     []*process
+	settings  []*config.Settings
+	endpoints map[string]*process
 }
 
-func (c *procs) start(name string, args ...string) *process {
+func (c *cluster) start(program string, args ...string) *process {
 	c.t.Helper()
-	p := &process{Cmd: exec.Command(filepath.Join(binaries(c.t), name), args...), out: new(bytes.Buffer), done: make(chan struct{})}
+	p := &process{Cmd: exec.Command(filepath.Join(binaries(c.t), program), args...), out: new(bytes.Buffer), done: make(chan struct{})}
 	p.Stdout, p.Stderr = p.out, p.out
 	if err := p.Start(); err != nil {
 		c.t.Fatal(err)
@@ -104,34 +104,34 @@
 		p.kill()
 		if c.t.Failed() {
 			b := p.out.Bytes()
-			c.t.Logf("%s %v:\n%s", name, args, b[max(0, len(b)-3000):])
+			c.t.Logf("%s %v:\n%s", program, args, b[max(0, len(b)-3000):])
 		}
 	})
 	return p
 }
 
-// freePorts returns loopback addresses that were free a moment ago. They are
-// not of 127.0.0.1, whose ports any connection made meanwhile may take.
+// freePorts returns loopback addresses that were free a moment ago. They aren't on
+// 127.0.0.1, where any outgoing connection may take a port before the process listens.
 func freePorts(t *testing.T, n int) []string {
 	var out []string
-	var open []net.Listener
-	own := fake.LoopbackHost() + ":0"
+	var listeners []net.Listener
+	anyPort := fake.LoopbackHost() + ":0"
 	for range n {
-		l, err := net.Listen("tcp", own)
+		l, err := net.Listen("tcp", anyPort)
 		if err != nil {
 			t.Fatal(err)
 		}
-		open = append(open, l)
+		listeners = append(listeners, l)
 		out = append(out, l.Addr().String())
 	}
-	for _, l := range open {
+	for _, l := range listeners {
 		l.Close()
 	}
 	return out
 }
 
-// TestFreePorts checks that a connection which takes the same port number of
-// 127.0.0.1 doesn't keep a process from its address.
+// TestFreePorts checks that a process can listen on an address of freePorts even if the
+// same port of 127.0.0.1 has been taken meanwhile.
 func TestFreePorts(t *testing.T) {
 	for _, addr := range freePorts(t, 5) {
 		_, port, err := net.SplitHostPort(addr)
@@ -149,10 +149,11 @@
 	}
 }
 
-// startProcs starts a platform, the deployment's endpoints and n hosts.
-func startProcs(t *testing.T, n int, change func(d *config.Document)) *procs {
+// startCluster starts a platform, the endpoints of the deployment and n hosts, and waits
+// until the hosts are ready.
+func startCluster(t *testing.T, n int, change func(d *config.Document)) *cluster {
 	t.Helper()
-	c := &procs{t: t, dir: t.TempDir(), runners: map[string]*process{}}
+	c := &cluster{t: t, dir: t.TempDir(), endpoints: map[string]*process{}}
 	var err error
 	if c.doc, err = config.ParseDocument(examples.Domaskra); err != nil {
 		t.Fatal(err)
@@ -166,7 +167,7 @@
 		c.doc.Endpoints[i].Address = ports[i]
 	}
 	ports = ports[len(c.doc.Endpoints):]
-	docFile := c.write("document.json", c.doc)
+	docFile := c.writeJSON("document.json", c.doc)
 	var list []publish.Host
 	for i := range n {
 		d := c.doc.Domains[i%len(c.doc.Domains)]
@@ -182,7 +183,7 @@
 			}
 		}
 	}
-	c.start("embercove-fake", "platform", "-listen", c.platform, "-document", docFile, "-hosts", c.write("hosts.json", list))
+	c.start("embercove-fake", "platform", "-listen", c.platform, "-document", docFile, "-hosts", c.writeJSON("hosts.json", list))
 	for _, e := range c.doc.Endpoints {
 		c.startEndpoint(e)
 	}
@@ -195,19 +196,19 @@
 	return c
 }
 
-func (c *procs) startEndpoint(e config.Endpoint) {
+func (c *cluster) startEndpoint(e config.Endpoint) {
 	if e.Role == config.Service {
-		c.runners[e.Name] = c.start("embercove-fake", "app", "-listen", e.Address, "-name", e.Name)
+		c.endpoints[e.Name] = c.start("embercove-fake", "app", "-listen", e.Address, "-name", e.Name)
 		return
 	}
-	c.runners[e.Name] = c.start("embercove-fake", "runner", "-listen", e.Address, "-document", filepath.Join(c.dir, "document.json"), "-endpoint", e.Name)
+	c.endpoints[e.Name] = c.start("embercove-fake", "runner", "-listen", e.Address, "-document", filepath.Join(c.dir, "document.json"), "-endpoint", e.Name)
 }
 
-func (c *procs) startHost(i int) *process {
-	return c.start("embercoved", "-settings", c.write(fmt.Sprintf("host%d.json", i), c.settings[i]))
+func (c *cluster) startHost(i int) *process {
+	return c.start("embercoved", "-settings", c.writeJSON(fmt.Sprintf("host%d.json", i), c.settings[i]))
 }
 
-func (c *procs) write(name string, v any) string {
+func (c *cluster) writeJSON(name string, v any) string {
 	c.t.Helper()
 	src, err := json.Marshal(v)
 	if err != nil {
@@ -220,23 +221,22 @@
 	return path
 }
 
-// eventually waits until f returns "", which else says what is missing.
-func (c *procs) eventually(f func() string) {
+// eventually waits until f returns "". Before that f returns what is still missing.
+func (c *cluster) eventually(f func() string) {
 	c.t.Helper()
-	deadline := time.Now().Add(patience)
-	why := f()
-	for why != "" && time.Now().Before(deadline) {
+	deadline := time.Now().Add(waitLimit)
+	missing := f()
+	for missing != "" && time.Now().Before(deadline) {
 		time.Sleep(25 * time.Millisecond)
-		why = f()
+		missing = f()
 	}
-	if why != "" {
-		c.t.Fatal(why)
+	if missing != "" {
+		c.t.Fatal(missing)
 	}
 }
 
-// waitReady waits until host i has a configuration, knows the others and has
-// heard of every endpoint.
-func (c *procs) waitReady(i int) {
+// waitReady waits until host i has a configuration and a digest of every endpoint.
+func (c *cluster) waitReady(i int) {
 	c.t.Helper()
 	c.eventually(func() string {
 		s, err := c.status(i)
@@ -248,14 +248,14 @@
 		}
 		for _, e := range s.Endpoints {
 			if e.Age < 0 {
-				return "nothing heard of " + e.Endpoint
+				return "no digest of " + e.Endpoint
 			}
 		}
 		return ""
 	})
 }
 
-func (c *procs) status(i int) (s node.Status, err error) {
+func (c *cluster) status(i int) (s node.Status, err error) {
 	return s, getJSON(c.settings[i].Admin, node.PathStatus, &s)
 }
 
@@ -277,7 +277,7 @@
 	return json.NewDecoder(res.Body).Decode(v)
 }
 
-// control posts to a stand-in's control path.
+// control posts v to a control path of a stand-in.
 func control(t *testing.T, addr, path string, v any) {
 	t.Helper()
 	body, _ := json.Marshal(v)
@@ -292,8 +292,8 @@
 	}
 }
 
-// truth returns the records of every stand-in that answers.
-func (c *procs) truth() []fake.Record {
+// records returns what the stand-ins that answer have recorded about the calls they got.
+func (c *cluster) records() []fake.Record {
 	var out []fake.Record
 	for _, e := range c.doc.Endpoints {
 		var rs []fake.Record
@@ -304,8 +304,8 @@
 	return out
 }
 
-// held returns how many attempts hold memory at the runners that answer.
-func (c *procs) held() int {
+// heldAttempts returns the number of attempts that hold memory at the runners that answer.
+func (c *cluster) heldAttempts() int {
 	n := 0
 	for _, e := range c.doc.Endpoints {
 		var l endpoint.RunningList
@@ -316,7 +316,7 @@
 	return n
 }
 
-func (c *procs) callers() []string {
+func (c *cluster) callers() []string {
 	var out []string
 	for _, s := range c.settings {
 		out = append(out, s.Callers)
@@ -324,8 +324,8 @@
 	return out
 }
 
-// send sends arrivals of Dómaskrá's mix to the hosts.
-func (c *procs) send(arrivals []load.Arrival) []load.Result {
+// send sends arrivals to the hosts, for the model of Dómaskrá's mix.
+func (c *cluster) send(arrivals []load.Arrival) []load.Result {
 	s := load.Sender{Addresses: c.callers(), Model: load.Mixes["domaskra"].Model}
 	return s.Send(context.Background(), arrivals)
 }
--- a/cmd/embercoved/failure_test.go
+++ b/cmd/embercoved/failure_test.go
@@ -10,51 +10,55 @@
 	"github.com/embercove/embercove/load"
 )
 
-// failureRate and failureSpan size the load that faults strike.
+// failureRate and failureLoadTime are the rate per second and the duration of the load.
+// faultAt is how long after its start the fault is injected.
 const (
-	failureRate = 25
-	failureSpan = 4 * time.Second
-	strikeAt    = 1200 * time.Millisecond
+	failureRate     = 25
+	failureLoadTime = 4 * time.Second
+	faultAt         = 1200 * time.Millisecond
 )
 
-// mixed returns arrivals of which every third may not be repeated and every
-// eighth caller leaves.
-func mixed(seed uint64) []load.Arrival {
-	as := load.Mixes["domaskra"].Arrivals(seed, failureRate, failureSpan, 0.125)
+// failureArrivals returns arrivals of which every third must not be repeated. One caller
+// in eight disconnects during prefill.
+func failureArrivals(seed uint64) []load.Arrival {
+	as := load.Mixes["domaskra"].Arrivals(seed, failureRate, failureLoadTime, 0.125)
 	for i := range as {
 		as[i].Once = i%3 == 0
 	}
 	return as
 }
 
-// TestFailures strikes a deployment of processes under load and judges every
-// answer against the stand-ins' own truth. After each, no memory stays held.
+// TestFailures injects faults into a deployment of processes under load. It checks every
+// answer against what the stand-ins recorded: a fault must not lead to a wrong or missing
+// token, an answer without a result code, a second run of a request that must not be
+// repeated, or a run of a request that was refused as not run. Afterwards no attempt may
+// hold memory at a runner.
 func TestFailures(t *testing.T) {
 	cases := []struct {
-		name   string
-		kills  int // index of the host whose callers may see a broken connection, -1: none
-		strike func(t *testing.T, c *procs)
+		name       string
+		killedHost int // index of the host whose callers may see a broken connection; -1: none
+		inject     func(t *testing.T, c *cluster)
 	}{
-		{"entry host killed", 1, func(t *testing.T, c *procs) { c.hosts[1].kill() }},
-		{"entry host frozen and woken", -1, func(t *testing.T, c *procs) {
+		{"entry host killed", 1, func(t *testing.T, c *cluster) { c.hosts[1].kill() }},
+		{"entry host frozen and woken", -1, func(t *testing.T, c *cluster) {
 			c.hosts[1].signal(syscall.SIGSTOP)
 			time.Sleep(5 * time.Second)
 			c.hosts[1].signal(syscall.SIGCONT)
 		}},
-		{"decode runner killed", -1, func(t *testing.T, c *procs) { c.runners["docket-decode-1"].kill() }},
-		{"prefill runner killed", -1, func(t *testing.T, c *procs) { c.runners["docket-prefill-1"].kill() }},
-		{"decode runner frozen and woken", -1, func(t *testing.T, c *procs) {
-			c.runners["docket-decode-2"].signal(syscall.SIGSTOP)
+		{"decode runner killed", -1, func(t *testing.T, c *cluster) { c.endpoints["docket-decode-1"].kill() }},
+		{"prefill runner killed", -1, func(t *testing.T, c *cluster) { c.endpoints["docket-prefill-1"].kill() }},
+		{"decode runner frozen and woken", -1, func(t *testing.T, c *cluster) {
+			c.endpoints["docket-decode-2"].signal(syscall.SIGSTOP)
 			time.Sleep(4 * time.Second)
-			c.runners["docket-decode-2"].signal(syscall.SIGCONT)
+			c.endpoints["docket-decode-2"].signal(syscall.SIGCONT)
 		}},
-		{"cancels lost, a host killed", 2, func(t *testing.T, c *procs) {
+		{"cancels lost, a host killed", 2, func(t *testing.T, c *cluster) {
 			for _, e := range c.doc.Endpoints[:10] {
 				control(t, e.Address, "/control/faults", fake.Faults{CutAfter: 1})
 			}
 			c.hosts[2].kill()
 		}},
-		{"planned stop of a host", -1, func(t *testing.T, c *procs) {
+		{"planned stop of a host", -1, func(t *testing.T, c *cluster) {
 			c.hosts[0].signal(syscall.SIGTERM)
 			<-c.hosts[0].done
 			if code := c.hosts[0].ProcessState.ExitCode(); code != exitOK {
@@ -64,24 +68,24 @@
 	}
 	for i, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			c := startProcs(t, 3, nil)
-			struck := make(chan struct{})
+			c := startCluster(t, 3, nil)
+			injected := make(chan struct{})
 			go func() {
-				defer close(struck)
-				time.Sleep(strikeAt)
-				tc.strike(t, c)
+				defer close(injected)
+				time.Sleep(faultAt)
+				tc.inject(t, c)
 			}()
-			rs := c.send(mixed(uint64(i + 1)))
-			<-struck
+			rs := c.send(failureArrivals(uint64(i + 1)))
+			<-injected
 			host := func(a load.Arrival) int { return a.Host % len(c.hosts) }
 			gone := func(a load.Arrival) bool {
-				return host(a) == tc.kills || tc.name == "planned stop of a host" && host(a) == 0 && a.At > strikeAt+time.Second
+				return host(a) == tc.killedHost || tc.name == "planned stop of a host" && host(a) == 0 && a.At > faultAt+time.Second
 			}
-			for _, broken := range load.Judge(rs, c.truth(), gone) {
+			for _, broken := range load.Judge(rs, c.records(), gone) {
 				t.Error(broken)
 			}
 			c.eventually(func() string {
-				if n := c.held(); n > 0 {
+				if n := c.heldAttempts(); n > 0 {
 					return fmt.Sprintf("%d attempts still hold memory", n)
 				}
 				return ""
@@ -91,7 +95,7 @@
 					t.Errorf("host %d: invariants broken: %v", h, s.Broken)
 				}
 			}
-			t.Log(load.Sum(tc.name, rs, c.truth(), c.doc.Targets, failureSpan).Text())
+			t.Log(load.Sum(tc.name, rs, c.records(), c.doc.Targets, failureLoadTime).Text())
 		})
 	}
 }
--- a/cmd/embercoved/main.go
+++ b/cmd/embercoved/main.go
@@ -29,11 +29,11 @@
 	exitUsage  = 2
 )
 
-// stdin stands for standard input in place of a file.
-const stdin = "-"
+// stdinPath is the path that stands for standard input.
+const stdinPath = "-"
 
-// memoryShare is the part of the process's memory that the collector aims at.
-const memoryShare = 0.7
+// memoryLimitShare is the share of memory_mb that is set as the garbage collector's memory limit.
+const memoryLimitShare = 0.7
 
 func main() { os.Exit(run()) }
 
@@ -59,12 +59,12 @@
 		fmt.Println("settings are valid")
 		return exitOK
 	}
-	debug.SetMemoryLimit(int64(memoryShare * s.MemoryMegabytes * (1 << 20)))
+	debug.SetMemoryLimit(int64(memoryLimitShare * s.MemoryMegabytes * (1 << 20)))
 	sink := logsink.New(os.Stdout, 0)
 	defer func() {
 		select {
 		case <-sink.Close():
-		case <-time.After(lastLines):
+		case <-time.After(lastLinesTimeout):
 		}
 	}()
 	log, level, err := newLog(s.LogLevel, sink)
@@ -72,11 +72,11 @@
 		fmt.Fprintf(os.Stderr, "embercoved: log: %v\n", err)
 		return exitFailed
 	}
-	return serve(s, sink, &reloader{path: *path, log: log, level: level, sum: fileSum(*path)})
+	return serve(s, sink, &reloader{path: *path, log: log, level: level, hash: fileHash(*path)})
 }
 
-// fileSum returns the hash of a file's content, 0 if it can't be read.
-func fileSum(path string) uint64 {
+// fileHash returns the hash of a file's content, 0 if it can't be read.
+func fileHash(path string) uint64 {
 	src, err := os.ReadFile(path)
 	if err != nil {
 		return 0
@@ -86,7 +86,7 @@
 
 func readSettings(path string) (*config.Settings, error) {
 	src, err := os.ReadFile(path)
-	if path == stdin {
+	if path == stdinPath {
 		src, err = io.ReadAll(os.Stdin)
 	}
 	if err != nil {
@@ -95,7 +95,7 @@
 	return config.ParseSettings(src)
 }
 
-// newLog returns a logger of JSON lines to a sink that doesn't block.
+// newLog returns a logger that writes JSON lines to a sink that doesn't block.
 func newLog(level string, sink *logsink.Sink) (*zap.Logger, zap.AtomicLevel, error) {
 	lvl, err := zap.ParseAtomicLevel(level)
 	if err != nil {
@@ -105,12 +105,12 @@
 	return zap.New(zapcore.NewCore(zapcore.NewJSONEncoder(enc), sink, lvl)), lvl, nil
 }
 
-// lastLines is how long the end of the process waits for its last log lines.
-const lastLines = 200 * time.Millisecond
+// lastLinesTimeout is how long the process waits at its end for the last log lines to be written.
+const lastLinesTimeout = 200 * time.Millisecond
 
 func serve(s *config.Settings, sink *logsink.Sink, r *reloader) int {
 	log := r.log
-	hup := notify()
+	hup := notifyHangup()
 	stop := make(chan os.Signal, 2)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
 	opts := []node.Option{node.WithLog(log), node.WithLogLines(sink)}
@@ -122,18 +122,18 @@
 		err = n.Start()
 	}
 	if err != nil {
-		log.Error("did not start", zap.Error(err))
+		log.Error("start failed", zap.Error(err))
 		return exitFailed
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	r.apply = n.Reload
-	if r.path != stdin {
+	if r.path != stdinPath {
 		go r.run(ctx, hup)
 	}
 	select {
 	case err := <-n.Failed():
-		log.Error("a listener broke", zap.Error(err))
+		log.Error("listener failed", zap.Error(err))
 		n.Stop()
 		return exitFailed
 	case <-stop:
--- a/cmd/embercoved/process_test.go
+++ b/cmd/embercoved/process_test.go
@@ -19,11 +19,12 @@
 	"github.com/embercove/embercove/load"
 )
 
-// TestWholePath starts every program as a process of its own, sends a docket
-// bundle of some 20,000 tokens with a short answer and a short question with
-// a long one, and reads both answers whole. A planned stop then ends a host.
+// TestWholePath starts every program as a separate process. It sends a docket bundle of
+// about 20,000 tokens with a short answer and a short question with a long answer, streamed
+// and not, and checks that the answers are complete. A planned stop of a host must then
+// exit with code 0.
 func TestWholePath(t *testing.T) {
-	c := startProcs(t, 3, nil)
+	c := startCluster(t, 3, nil)
 	bundle := load.Mixes["domaskra"].Arrivals(3, 50, 10*time.Second, 0)
 	long, short := "", ""
 	for _, a := range bundle {
@@ -47,7 +48,7 @@
 	}
 	for i, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			got := ask(t, c.settings[i%3].Callers, tc.prompt, tc.max, tc.stream)
+			got := sendCompletion(t, c.settings[i%3].Callers, tc.prompt, tc.max, tc.stream)
 			if want := fake.Answer(tc.prompt, tc.max); got != want {
 				t.Errorf("got %d bytes, want %d: %.60q", len(got), len(want), got)
 			}
@@ -76,8 +77,8 @@
 	})
 }
 
-// ask sends one completion and returns the text of its answer.
-func ask(t *testing.T, addr, prompt string, maxTokens int, stream bool) string {
+// sendCompletion sends a completion request and returns the text of the answer.
+func sendCompletion(t *testing.T, addr, prompt string, maxTokens int, stream bool) string {
 	t.Helper()
 	body, _ := json.Marshal(entry.Body{Model: "docket-reader", Prompt: prompt, MaxTokens: &maxTokens, Stream: stream})
 	q, _ := http.NewRequest("POST", "http://"+addr+"/v1/completions", bytes.NewReader(body))
@@ -92,7 +93,7 @@
 		t.Fatalf("%s %v: %.300s", res.Status, err, src)
 	}
 	if !stream {
-		return texts(t, src)
+		return answerText(t, src)
 	}
 	var b strings.Builder
 	done := false
@@ -103,16 +104,16 @@
 		case data == "[DONE]":
 			done = true
 		default:
-			b.WriteString(texts(t, []byte(data)))
+			b.WriteString(answerText(t, []byte(data)))
 		}
 	}
 	if !done {
-		t.Error("no mark of a whole answer")
+		t.Error("no [DONE] event at the end of the answer")
 	}
 	return b.String()
 }
 
-func texts(t *testing.T, src []byte) string {
+func answerText(t *testing.T, src []byte) string {
 	t.Helper()
 	var c struct {
 		Choices []struct{ Text string }
@@ -123,7 +124,7 @@
 	return c.Choices[0].Text
 }
 
-// TestLinkage checks that the programs are linked to the C library as usual.
+// TestLinkage checks that the programs are linked dynamically to the C library.
 func TestLinkage(t *testing.T) {
 	for _, name := range []string{"embercoved", "embercove", "embercove-fake"} {
 		f, err := elf.Open(filepath.Join(binaries(t), name))
@@ -138,7 +139,7 @@
 	}
 }
 
-// TestBadSettings checks that the daemon names the field and the cause.
+// TestBadSettings checks that the daemon's error about bad settings names the field and the cause.
 func TestBadSettings(t *testing.T) {
 	cases := []struct{ name, src, want string }{
 		{"typo", `{"host": "a", "failure_domian": "x"}`, `did you mean "failure_domain"?`},
--- a/cmd/embercoved/reload.go
+++ b/cmd/embercoved/reload.go
@@ -13,60 +13,62 @@
 	"github.com/embercove/embercove/config"
 )
 
-// lookEvery is how often the settings file is read for silent changes.
-const lookEvery = 2 * time.Second
+// checkInterval is how often the settings file is read to detect changes made without a SIGHUP.
+const checkInterval = 2 * time.Second
 
-// reloader reads the settings file anew at a SIGHUP and when its content has
-// changed without one.
+// reloader reloads the settings file on SIGHUP, and also when its content has changed
+// without a signal.
 type reloader struct {
 	path  string
 	log   *zap.Logger
 	level zap.AtomicLevel
 	apply func(s *config.Settings) (later []string)
-	sum   uint64
+	hash  uint64
 }
 
-// run returns when ctx ends. Once it has begun, a SIGHUP ends no process.
+// run reloads the settings until ctx ends.
 func (r *reloader) run(ctx context.Context, hup <-chan os.Signal) {
-	look := time.NewTicker(lookEvery)
-	defer look.Stop()
+	ticker := time.NewTicker(checkInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-hup:
 			r.reload(true)
-		case <-look.C:
+		case <-ticker.C:
 			r.reload(false)
 		}
 	}
 }
 
-// notify delivers SIGHUPs from now on.
-func notify() <-chan os.Signal {
+// notifyHangup returns a channel of SIGHUPs. Once it was called, a SIGHUP no longer ends the
+// process.
+func notifyHangup() <-chan os.Signal {
 	hup := make(chan os.Signal, 4)
 	signal.Notify(hup, syscall.SIGHUP)
 	return hup
 }
 
-// reload takes the file's settings over if they are valid; else those in force
-// stay. asked has it logged even if nothing changed.
-func (r *reloader) reload(asked bool) {
+// reload applies the settings of the file if they are valid; otherwise the current ones
+// stay in force. After a signal it logs the result even if nothing has changed or the file
+// can't be read.
+func (r *reloader) reload(signaled bool) {
 	src, err := os.ReadFile(r.path)
 	if err != nil {
-		if asked {
+		if signaled {
 			r.log.Error("settings not reloaded", zap.Error(err))
 		}
 		return
 	}
-	sum := xxhash.Sum64(src)
-	if sum == r.sum {
-		if asked {
+	hash := xxhash.Sum64(src)
+	if hash == r.hash {
+		if signaled {
 			r.log.Info("settings reloaded, unchanged")
 		}
 		return
 	}
-	r.sum = sum
+	r.hash = hash
 	s, err := config.ParseSettings(src)
 	if err != nil {
 		r.log.Error("settings not reloaded; those in force stay", zap.Error(err))
--- a/cmd/embercoved/reload_test.go
+++ b/cmd/embercoved/reload_test.go
@@ -16,18 +16,18 @@
 	"github.com/embercove/embercove/config"
 )
 
-// settingsText returns valid settings with a retry budget of so much extra.
+// settingsText returns valid settings with the given retry_budget.extra.
 func settingsText(extra string) string {
 	return `{"host": "h", "failure_domain": "d", "region": "r", "callers_address": "127.0.0.1:1", "peers_address": "127.0.0.1:2",
 	"admin_address": "127.0.0.1:3", "platform_address": "127.0.0.1:4", "retry_budget": {"share": 0.2, "window_s": 10, "extra": ` + extra + `}}`
 }
 
-// TestReload changes the settings file in several ways. A SIGHUP must never
-// end the process, and faulty settings must leave those in force alone.
+// TestReload changes the settings file in several ways. A SIGHUP, which ends a process that
+// doesn't handle it, must not do so, and invalid settings must not replace those in force.
 func TestReload(t *testing.T) {
 	cases := []struct {
 		name, text string
-		signal     bool // or is the change silent
+		signal     bool // a SIGHUP follows the change
 		message    string
 		applied    int
 	}{
@@ -40,18 +40,18 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "host.hujson")
-			write(t, path, settingsText("56"))
+			writeFile(t, path, settingsText("56"))
 			core, seen := observer.New(zapcore.InfoLevel)
 			applied := make(chan *config.Settings, 4)
-			r := &reloader{path: path, log: zap.New(core), level: zap.NewAtomicLevel(), sum: fileSum(path),
+			r := &reloader{path: path, log: zap.New(core), level: zap.NewAtomicLevel(), hash: fileHash(path),
 				apply: func(s *config.Settings) []string { applied <- s; return nil }}
-			write(t, path, tc.text)
+			writeFile(t, path, tc.text)
 			if !tc.signal {
 				r.reload(false)
 			} else {
 				ctx, cancel := context.WithCancel(context.Background())
 				defer cancel()
-				go r.run(ctx, notify())
+				go r.run(ctx, notifyHangup())
 				if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 					t.Fatal(err)
 				}
@@ -69,7 +69,7 @@
 	}
 }
 
-func write(t *testing.T, path, text string) {
+func writeFile(t *testing.T, path, text string) {
 	t.Helper()
 	if text == "" {
 		os.Remove(path)
--- a/cmd/embercoved/soak_test.go
+++ b/cmd/embercoved/soak_test.go
@@ -17,43 +17,43 @@
 	"github.com/embercove/embercove/load"
 )
 
-// The soak runs the real programs as separate processes and injects faults
-// from outside of them, in series that overlap, as a seed says. By hand:
+// The soak runs the real programs as separate processes and injects faults from outside.
+// The faults overlap; a seed determines their sequence. To run it by hand:
 // go test ./cmd/embercoved -run TestSoak -soak.seeds 50 -soak.first 1 -timeout 2h
 var (
-	soakSeeds = flag.Int("soak.seeds", 1, "how many seeds TestSoak plays")
-	soakFirst = flag.Uint64("soak.first", 1, "the first of them")
-	soakSpan  = flag.Duration("soak.span", 8*time.Second, "how long each is played")
+	soakSeeds = flag.Int("soak.seeds", 1, "number of seeds that TestSoak runs")
+	soakFirst = flag.Uint64("soak.first", 1, "first seed")
+	soakTime  = flag.Duration("soak.span", 8*time.Second, "duration of the run of a seed")
 )
 
-// soakRegressions are seeds that failed once, each with a line on its cause.
+// soakRegressions are seeds that have revealed a fault, with the fault. They are always run.
 var soakRegressions = map[uint64]string{
-	203: "a prompt was read again where reading counts as a run, after two refusals by decode engines with room",
+	203: "prefill was repeated where prefill counts as a run, after two refusals by decode engines with free memory",
 	228: "the same",
 }
 
-// soak is one seed being played.
+// soak is the run of a seed.
 type soak struct {
 	t       *testing.T
-	c       *procs
+	c       *cluster
 	r       *rand.Rand
 	proxies map[string]*fake.Proxy
 	wg      sync.WaitGroup
 
-	mu     sync.Mutex
-	log    []string
-	struck map[int]bool // hosts that were killed or stopped: callers may see a broken connection
-	busy   map[int]bool // hosts that are struck now
-	began  time.Time
+	mu          sync.Mutex
+	log         []string
+	interrupted map[int]bool // hosts that were killed or stopped: callers may see a broken connection
+	underFault  map[int]bool // hosts that are down or frozen now
+	started     time.Time
 }
 
-func (s *soak) note(format string, args ...any) {
+func (s *soak) logf(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.log = append(s.log, fmt.Sprintf("%6.2f s ", time.Since(s.began).Seconds())+fmt.Sprintf(format, args...))
+	s.log = append(s.log, fmt.Sprintf("%6.2f s ", time.Since(s.started).Seconds())+fmt.Sprintf(format, args...))
 }
 
-// publish publishes the document with the proxies' addresses.
+// publish publishes the document with the addresses of the proxies in place of the endpoints'.
 func (s *soak) publish() {
 	d := *s.c.doc
 	d.Endpoints = append([]config.Endpoint(nil), d.Endpoints...)
@@ -63,61 +63,62 @@
 	control(s.t, s.c.platform, "/control/publish", d)
 }
 
-// host takes a host that isn't struck now, unless all but one are; -1: none.
-func (s *soak) host() int {
+// pickHost picks a host at random and marks it as under a fault. It returns -1 if the host is
+// under a fault already, or if only two hosts aren't.
+func (s *soak) pickHost() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.busy) >= len(s.c.hosts)-2 {
+	if len(s.underFault) >= len(s.c.hosts)-2 {
 		return -1
 	}
 	h := s.r.IntN(len(s.c.hosts))
-	if s.busy[h] {
+	if s.underFault[h] {
 		return -1
 	}
-	s.busy[h] = true
+	s.underFault[h] = true
 	return h
 }
 
-func (s *soak) heal(h int) {
+func (s *soak) endFault(h int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.busy, h)
+	delete(s.underFault, h)
 }
 
-// strike injects one fault, which heals by itself.
-func (s *soak) strike() {
-	lasts := time.Duration(300+s.r.IntN(1700)) * time.Millisecond
+// injectFault injects a random fault, which ends after a random time.
+func (s *soak) injectFault() {
+	duration := time.Duration(300+s.r.IntN(1700)) * time.Millisecond
 	switch s.r.IntN(6) {
 	case 0, 1:
 		e := s.c.doc.Endpoints[s.r.IntN(len(s.c.doc.Endpoints))].Name
 		mode := fake.Mode(1 + s.r.IntN(int(fake.SilentDown)))
-		s.note("%s: %s for %s", e, mode, lasts)
+		s.logf("%s: %s for %s", e, mode, duration)
 		s.proxies[e].Set(mode)
-		s.later(lasts, func() { s.proxies[e].Set(fake.Pass) })
+		s.after(duration, func() { s.proxies[e].Set(fake.Pass) })
 	case 2:
-		s.note("platform down for %s", lasts)
-		s.get("/control/down?v=1")
-		s.later(lasts, func() { s.get("/control/down?v=0") })
+		s.logf("platform down for %s", duration)
+		s.getPlatform("/control/down?v=1")
+		s.after(duration, func() { s.getPlatform("/control/down?v=0") })
 	case 3:
-		s.note("a revision")
+		s.logf("new revision published")
 		s.publish()
 	case 4:
-		if h := s.host(); h >= 0 {
-			s.note("host %d frozen for %s", h, lasts)
+		if h := s.pickHost(); h >= 0 {
+			s.logf("host %d frozen for %s", h, duration)
 			s.c.hosts[h].signal(syscall.SIGSTOP)
-			s.later(lasts, func() {
+			s.after(duration, func() {
 				s.c.hosts[h].signal(syscall.SIGCONT)
-				s.heal(h)
+				s.endFault(h)
 			})
 		}
 	case 5:
-		s.restart(lasts)
+		s.restart(duration)
 	}
 }
 
-// restart kills or stops a host and starts it again.
-func (s *soak) restart(lasts time.Duration) {
-	h := s.host()
+// restart kills or stops a host and starts it again after duration.
+func (s *soak) restart(duration time.Duration) {
+	h := s.pickHost()
 	if h < 0 {
 		return
 	}
@@ -125,27 +126,27 @@
 	if s.r.IntN(2) == 0 {
 		sig = syscall.SIGTERM
 	}
-	s.note("host %d gets %s, back after %s", h, sig, lasts)
+	s.logf("host %d gets %s, back after %s", h, sig, duration)
 	s.mu.Lock()
-	s.struck[h] = true
+	s.interrupted[h] = true
 	s.mu.Unlock()
 	p := s.c.hosts[h]
 	p.signal(sig)
-	s.later(lasts, func() {
+	s.after(duration, func() {
 		p.kill()
 		s.c.hosts[h] = s.c.startHost(h)
-		s.heal(h)
+		s.endFault(h)
 	})
 }
 
-func (s *soak) later(d time.Duration, f func()) {
+func (s *soak) after(d time.Duration, f func()) {
 	s.wg.Go(func() {
 		time.Sleep(d)
 		f()
 	})
 }
 
-func (s *soak) get(path string) {
+func (s *soak) getPlatform(path string) {
 	res, err := http.Get("http://" + s.c.platform + path)
 	if err == nil {
 		io.Copy(io.Discard, res.Body)
@@ -153,10 +154,11 @@
 	}
 }
 
-// soakHosts is how many hosts a soak starts.
+// soakHosts is the number of hosts of a soak.
 const soakHosts = 4
 
-// TestSoak plays seeds and judges what callers saw by what really ran.
+// TestSoak runs seeds. It compares what callers saw with what the stand-ins recorded, and
+// guards against promises that are broken only when several faults overlap.
 func TestSoak(t *testing.T) {
 	seeds := []uint64{}
 	for seed := range soakRegressions {
@@ -166,13 +168,13 @@
 		seeds = append(seeds, *soakFirst+uint64(i))
 	}
 	for _, seed := range seeds {
-		t.Run(fmt.Sprintf("seed=%d", seed), func(t *testing.T) { playSoak(t, seed) })
+		t.Run(fmt.Sprintf("seed=%d", seed), func(t *testing.T) { runSoak(t, seed) })
 	}
 }
 
-func playSoak(t *testing.T, seed uint64) {
-	s := &soak{t: t, c: startProcs(t, soakHosts, nil), r: rand.New(rand.NewPCG(seed, 9)), proxies: map[string]*fake.Proxy{},
-		struck: map[int]bool{}, busy: map[int]bool{}, began: time.Now()}
+func runSoak(t *testing.T, seed uint64) {
+	s := &soak{t: t, c: startCluster(t, soakHosts, nil), r: rand.New(rand.NewPCG(seed, 9)), proxies: map[string]*fake.Proxy{},
+		interrupted: map[int]bool{}, underFault: map[int]bool{}, started: time.Now()}
 	for _, e := range s.c.doc.Endpoints {
 		p, err := fake.NewProxy(e.Address, nil)
 		if err != nil {
@@ -190,32 +192,32 @@
 			return ""
 		})
 	}
-	as := load.Mixes["domaskra"].Arrivals(seed, failureRate, *soakSpan, 0.125)
-	for i := range as {
-		as[i].Once = i%3 == 0
+	arrivals := load.Mixes["domaskra"].Arrivals(seed, failureRate, *soakTime, 0.125)
+	for i := range arrivals {
+		arrivals[i].Once = i%3 == 0
 	}
-	over := make(chan []load.Result)
-	go func() { over <- s.c.send(as) }()
-	for time.Since(s.began) < *soakSpan {
-		s.strike()
+	results := make(chan []load.Result)
+	go func() { results <- s.c.send(arrivals) }()
+	for time.Since(s.started) < *soakTime {
+		s.injectFault()
 		time.Sleep(time.Duration(200+s.r.IntN(500)) * time.Millisecond)
 	}
-	rs := <-over
+	rs := <-results
 	s.wg.Wait()
 	for _, p := range s.proxies {
 		p.Set(fake.Pass)
 	}
-	s.judge(rs)
+	s.check(rs)
 	if t.Failed() {
 		for _, line := range s.log {
 			t.Log(line)
 		}
 	}
-	sum, _ := json.Marshal(map[string]any{"seed": seed, "faults": len(s.log), "requests": len(rs), "answered": answeredWhole(rs)})
+	sum, _ := json.Marshal(map[string]any{"seed": seed, "faults": len(s.log), "requests": len(rs), "answered": countAnswered(rs)})
 	t.Log(string(sum))
 }
 
-func answeredWhole(rs []load.Result) int {
+func countAnswered(rs []load.Result) int {
 	n := 0
 	for _, r := range rs {
 		if r.Correct {
@@ -225,17 +227,18 @@
 	return n
 }
 
-// judge checks the promises, and that the system is whole again in the end.
-func (s *soak) judge(rs []load.Result) {
-	gone := func(a load.Arrival) bool { return s.struck[a.Host%len(s.c.hosts)] }
-	for _, broken := range load.Judge(rs, s.c.truth(), gone) {
+// check checks the promises to callers, and that the system has recovered: no attempt holds
+// memory, every host has the published revision, and no invariant was broken.
+func (s *soak) check(rs []load.Result) {
+	gone := func(a load.Arrival) bool { return s.interrupted[a.Host%len(s.c.hosts)] }
+	for _, broken := range load.Judge(rs, s.c.records(), gone) {
 		s.t.Error(broken)
 	}
-	if answeredWhole(rs) == 0 {
+	if countAnswered(rs) == 0 {
 		s.t.Error("nothing was answered")
 	}
 	s.c.eventually(func() string {
-		if n := s.c.held(); n > 0 {
+		if n := s.c.heldAttempts(); n > 0 {
 			return fmt.Sprintf("%d attempts still hold memory", n)
 		}
 		return ""
