--- a/cmd/embercoved/failure_test.go
+++ b/cmd/embercoved/failure_test.go
@@ -78,11 +78,11 @@
 			rs := c.send(failureArrivals(uint64(i + 1)))
 			<-injected
 			host := func(a load.Arrival) int { return a.Host % len(c.hosts) }
-			gone := func(a load.Arrival) bool {
+			mayBreak := func(a load.Arrival) bool {
 				return host(a) == tc.killedHost || tc.name == "planned stop of a host" && host(a) == 0 && a.At > faultAt+time.Second
 			}
-			for _, broken := range load.Judge(rs, c.records(), gone) {
-				t.Error(broken)
+			for _, violation := range load.Judge(rs, c.records(), mayBreak) {
+				t.Error(violation)
 			}
 			c.eventually(func() string {
 				if n := c.heldAttempts(); n > 0 {
--- a/cmd/embercoved/soak_test.go
+++ b/cmd/embercoved/soak_test.go
@@ -85,7 +85,8 @@
 	delete(s.underFault, h)
 }
 
-// injectFault injects a random fault, which ends after a random time.
+// injectFault injects a random fault, which ends after a random time, or publishes a new
+// revision.
 func (s *soak) injectFault() {
 	duration := time.Duration(300+s.r.IntN(1700)) * time.Millisecond
 	switch s.r.IntN(6) {
@@ -230,9 +231,9 @@
 // check checks the promises to callers, and that the system has recovered: no attempt holds
 // memory, every host has the published revision, and no invariant was broken.
 func (s *soak) check(rs []load.Result) {
-	gone := func(a load.Arrival) bool { return s.interrupted[a.Host%len(s.c.hosts)] }
-	for _, broken := range load.Judge(rs, s.c.records(), gone) {
-		s.t.Error(broken)
+	mayBreak := func(a load.Arrival) bool { return s.interrupted[a.Host%len(s.c.hosts)] }
+	for _, violation := range load.Judge(rs, s.c.records(), mayBreak) {
+		s.t.Error(violation)
 	}
 	if countAnswered(rs) == 0 {
 		s.t.Error("nothing was answered")
--- a/meter/purpose.go
+++ b/meter/purpose.go
@@ -3,7 +3,7 @@
 import "sync/atomic"
 
 // Purpose is the reason for a call between hosts. Traffic is counted by purpose, so that
-// the part that grows with the fleet can be told from the part that grows with the requests.
+// the part that grows with the fleet can be distinguished from the part that grows with the requests.
 type Purpose int
 
 // The purposes.
--- a/node/node.go
+++ b/node/node.go
@@ -55,7 +55,7 @@
 	wg      sync.WaitGroup
 	cancel  context.CancelFunc
 	failed  chan error
-	// suspended is how long the machine had been suspended when beliefs were last dropped;
+	// suspendedAtDrop is the value of clock.Suspended when dropStaleState last ran. It is
 	// written under the lock of Board.Pause.
 	suspendedAtDrop time.Duration
 }
