--- a/internal/trie/trie_test.go
+++ b/internal/trie/trie_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestAgainstMap makes random changes to a trie and to a Go map, and holds them against each
-// other: what is in them, what differs from an earlier version, and that this one stands
-// still. Keys are few and share their low bits, so that nodes split and join.
+// TestAgainstMap applies the same random changes to a trie and to a Go map, and compares their
+// contents and their differences from an earlier version, which must not change. There are few
+// keys and they share their low bits, so that nodes split and join.
 func TestAgainstMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		key := rapid.Custom(func(t *rapid.T) uint32 {
@@ -42,12 +42,12 @@
 		})
 		for k := range want {
 			if want[k] != before[k] && !differs[k] {
-				t.Errorf("%x differs and is not told", k)
+				t.Errorf("%x differs but was not reported", k)
 			}
 		}
 		for k := range before {
 			if want[k] != before[k] && !differs[k] {
-				t.Errorf("%x differs and is not told", k)
+				t.Errorf("%x differs but was not reported", k)
 			}
 		}
 		Diff(Collect(m.All()), m, func(k uint32, _, _ *int) { t.Errorf("collected anew, %x differs", k) })
@@ -66,8 +66,8 @@
 	}
 }
 
-// TestDiffLooksAtLittle compares two versions that differ in one value, after all that they
-// share was made unreadable: Diff must find the difference without looking at it.
+// TestDiffLooksAtLittle compares two versions that differ in one value, after the nodes they
+// share were made unreadable: Diff must find the difference without visiting them.
 func TestDiffLooksAtLittle(t *testing.T) {
 	for _, n := range []uint32{1500, 12000} {
 		m := Collect(func(yield func(uint32, *int) bool) {
@@ -79,14 +79,14 @@
 		})
 		now := m.With(spread(7), new(int))
 		for i := range m.root.slots {
-			if kid := m.root.slots[i].kid; kid == now.root.slots[i].kid {
-				kid.slots = nil
+			if child := m.root.slots[i].child; child == now.root.slots[i].child {
+				child.slots = nil
 			}
 		}
-		told := 0
-		Diff(m, now, func(uint32, *int, *int) { told++ })
-		if told != 1 {
-			t.Errorf("of %d: told of %d differences, want one", n, told)
+		count := 0
+		Diff(m, now, func(uint32, *int, *int) { count++ })
+		if count != 1 {
+			t.Errorf("of %d: reported %d differences, want one", n, count)
 		}
 	}
 }
@@ -108,5 +108,5 @@
 	}
 }
 
-// spread returns keys that lie apart as hashes do.
+// spread returns evenly distributed keys, like hashes.
 func spread(i uint32) uint32 { return i * 2654435761 }
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait holds the one way in which the program waits for a time to pass.
+// Package wait holds the one function with which the program waits for an interval to pass.
 package wait
 
 import (
@@ -8,17 +8,18 @@
 	"github.com/embercove/embercove/clock"
 )
 
-// slice is the longest that is waited without a look at the clock: timers don't count the time
-// for which the machine is suspended, and ran on for their full rest after it.
-const slice = 250 * time.Millisecond
+// maxSlice is the longest wait between two checks of the clock. Timers don't count the time for
+// which the machine is suspended: without the checks a wait would go on for all of its remaining
+// time after the machine resumes.
+const maxSlice = 250 * time.Millisecond
 
-// For waits for d, and reports whether it passed before the context ended.
+// For waits for d and reports whether it passed before the context was done.
 func For(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
-	end := clock.Now().Add(d)
-	t := time.NewTimer(min(d, slice))
+	deadline := clock.Now().Add(d)
+	t := time.NewTimer(min(d, maxSlice))
 	defer t.Stop()
 	for {
 		select {
@@ -26,10 +27,10 @@
 		case <-ctx.Done():
 			return false
 		}
-		rest := end.Sub(clock.Now())
-		if rest <= 0 {
+		remaining := deadline.Sub(clock.Now())
+		if remaining <= 0 {
 			return true
 		}
-		t.Reset(min(rest, slice))
+		t.Reset(min(remaining, maxSlice))
 	}
 }
--- a/internal/wait/wait_test.go
+++ b/internal/wait/wait_test.go
@@ -9,11 +9,11 @@
 	"github.com/embercove/embercove/clock"
 )
 
-// TestSuspended has a machine be suspended while something waits: the wait ends soon after it
-// wakes if its moment has passed meanwhile, and at its moment if not. By the steady clock alone it
-// ended later by all of the suspension.
+// TestSuspended suspends the machine during a wait. The wait must end soon after the machine
+// resumes if its deadline has passed by then, and at its deadline otherwise. The monotonic clock
+// stops during a suspension, so a wait that relies on it alone is late by the whole suspension.
 func TestSuspended(t *testing.T) {
-	const late = 250 * time.Millisecond // that a wait may end after its moment
+	const maxDelay = 250 * time.Millisecond // by which a wait may end after its deadline
 	for _, tc := range []struct {
 		name                   string
 		waits, suspended, want time.Duration
@@ -26,11 +26,11 @@
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				time.AfterFunc(time.Second, func() { clock.Pretend(tc.suspended) })
-				began := time.Now()
+				start := time.Now()
 				if !For(t.Context(), tc.waits) {
 					t.Error("the context ended")
 				}
-				if took := time.Since(began); took < tc.want || took > tc.want+late {
+				if took := time.Since(start); took < tc.want || took > tc.want+maxDelay {
 					t.Errorf("ended after %v, want %v", took, tc.want)
 				}
 			})
@@ -38,17 +38,17 @@
 	}
 }
 
-// TestContext checks that a wait ends with its context, and that one of no length does at once.
+// TestContext checks that a wait ends with its context, and that a wait of zero or less returns at once.
 func TestContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		began := time.Now()
-		if For(ctx, time.Minute) || time.Since(began) != time.Second {
-			t.Errorf("ended after %v", time.Since(began))
+		start := time.Now()
+		if For(ctx, time.Minute) || time.Since(start) != time.Second {
+			t.Errorf("ended after %v", time.Since(start))
 		}
 		if For(ctx, 0) || !For(t.Context(), -time.Second) {
-			t.Error("a wait of no length")
+			t.Error("a wait of zero or less: wrong result")
 		}
 	})
 }
