--- a/internal/fake/answer.go
+++ b/internal/fake/answer.go
@@ -7,11 +7,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// PromptHash is the number that stands for a prompt in the truth.
+// PromptHash returns the hash that identifies a prompt in the records.
 func PromptHash(prompt string) uint64 { return xxhash.Sum64String(prompt) }
 
-// AnswerLength returns how many tokens the stand-in engines answer a prompt
-// with: between three tenths of maxTokens and all of them.
+// AnswerLength returns the length in tokens of the stand-in engines' answer to
+// a prompt: from three tenths of maxTokens up to maxTokens.
 func AnswerLength(prompt string, maxTokens int) int {
 	if maxTokens <= 1 {
 		return max(maxTokens, 0)
@@ -20,12 +20,12 @@
 	return max(1, int(uint64(maxTokens)*share/1000))
 }
 
-// Token returns token i of the answer to the prompt with the hash.
+// Token returns token i of the answer to the prompt with that hash.
 func Token(hash uint64, i int) string {
 	return "w" + strconv.FormatUint(hash&0xffffff, 36) + "." + strconv.Itoa(i) + " "
 }
 
-// Answer returns the whole answer that the stand-in engines give.
+// Answer returns the stand-in engines' whole answer to a prompt.
 func Answer(prompt string, maxTokens int) string {
 	hash := PromptHash(prompt)
 	var b strings.Builder
--- a/internal/fake/app.go
+++ b/internal/fake/app.go
@@ -11,28 +11,28 @@
 	"github.com/embercove/embercove/endpoint"
 )
 
-// App is a stand-in plain service: it answers with a line that names the
-// call, after a set time.
+// App is a stand-in for a plain service. It answers each call after a fixed
+// time, with a line that contains the hash of the call's body.
 type App struct {
-	Name   string
-	Takes  time.Duration
-	faults faultBox
-	truth  truth
+	Name    string
+	Takes   time.Duration
+	faults  faultState
+	records recordList
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the faults to inject.
 func (a *App) SetFaults(f Faults) { a.faults.set(f) }
 
-// Truth returns what happened at the stand-in.
-func (a *App) Truth() []Record { return a.truth.list() }
+// Truth returns the records of all attempts at the stand-in.
+func (a *App) Truth() []Record { return a.records.snapshot() }
 
-// maxAppBody is how much of a call's body is read.
+// maxAppBody is the most that is read of a call's body, in bytes.
 const maxAppBody = 1 << 20
 
-// AppAnswer is what App answers a body with.
+// AppAnswer returns App's answer to a body.
 func AppAnswer(body []byte) string { return fmt.Sprintf("recorded %x\n", xxhash.Sum64(body)) }
 
-// ServeHTTP answers calls, the state report and the control path.
+// ServeHTTP serves calls, the endpoint protocol and the /control paths.
 func (a *App) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	switch q.URL.Path {
 	case endpoint.PathState:
@@ -52,25 +52,25 @@
 		return
 	}
 	body, _ := io.ReadAll(io.LimitReader(q.Body, maxAppBody))
-	if a.faults.take(func(f *Faults) *int { return &f.CutBefore }) {
-		hangUp(w)
+	if a.faults.consume(func(f *Faults) *int { return &f.CutBefore }) {
+		closeConn(w)
 		return
 	}
-	if a.faults.take(func(f *Faults) *int { return &f.RefuseUnvouch }) {
-		refuse(w, http.StatusServiceUnavailable, "broken by fault", false)
+	if a.faults.consume(func(f *Faults) *int { return &f.RefuseUnvouch }) {
+		writeProblem(w, http.StatusServiceUnavailable, "broken by fault", false)
 		return
 	}
 	if f := a.faults.get(); f.RefuseShare >= 1 {
-		refuse(w, http.StatusServiceUnavailable, "refused by fault", true)
+		writeProblem(w, http.StatusServiceUnavailable, "refused by fault", true)
 		return
 	}
-	rec := a.truth.add(Record{ID: q.Header.Get(endpoint.HeaderRequestID), Role: "service", Prompt: xxhash.Sum64(body),
+	rec := a.records.add(Record{ID: q.Header.Get(endpoint.HeaderRequestID), Role: "service", Prompt: xxhash.Sum64(body),
 		Ran: true, Repeatable: q.Header.Get(endpoint.HeaderRepeatable) != "false", Leaving: a.faults.get().Leaving,
 		StartedMS: time.Now().UnixMilli()})
 	time.Sleep(a.Takes + time.Duration(a.faults.get().LateMillis)*time.Millisecond)
-	a.truth.set(func() { rec.Finished = true })
-	if a.faults.take(func(f *Faults) *int { return &f.CutAfter }) {
-		hangUp(w)
+	a.records.update(func() { rec.Finished = true })
+	if a.faults.consume(func(f *Faults) *int { return &f.CutAfter }) {
+		closeConn(w)
 		return
 	}
 	w.Header().Set("Content-Type", "text/plain")
--- a/internal/fake/cache.go
+++ b/internal/fake/cache.go
@@ -7,29 +7,29 @@
 	"github.com/embercove/embercove/endpoint"
 )
 
-// prefixCache is an engine's LRU cache of prompt blocks and the feed of
-// events about it.
+// prefixCache is an engine's LRU cache of prompt blocks, with the feed of cache
+// events that the engine publishes.
 type prefixCache struct {
 	mu     sync.Mutex
-	limit  int // blocks
-	order  *list.List
+	limit  int // in blocks
+	lru    *list.List
 	blocks map[uint64]*list.Element
 
-	first  uint64 // sequence number of events[0]
-	events []endpoint.CacheEvent
-	depth  map[uint32]int // tokens cached for each head
-	heads  map[uint64]uint32
+	first        uint64 // sequence number of events[0]
+	events       []endpoint.CacheEvent
+	cachedTokens map[uint32]int // by head
+	headByBlock  map[uint64]uint32
 }
 
-// maxEvents is how much of the feed is kept; older events are a gap.
+// maxEvents is how many events the feed keeps. Readers see older ones as a gap.
 const maxEvents = 512
 
 func newPrefixCache(limit int) *prefixCache {
-	return &prefixCache{limit: limit, order: list.New(), blocks: map[uint64]*list.Element{},
-		depth: map[uint32]int{}, heads: map[uint64]uint32{}}
+	return &prefixCache{limit: limit, lru: list.New(), blocks: map[uint64]*list.Element{},
+		cachedTokens: map[uint32]int{}, headByBlock: map[uint64]uint32{}}
 }
 
-// cached returns how many tokens of the prompt are in the cache.
+// cached returns how many tokens at the beginning of the prompt are in the cache.
 func (c *prefixCache) cached(prompt string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -39,15 +39,16 @@
 		if !ok {
 			break
 		}
-		c.order.MoveToFront(el)
+		c.lru.MoveToFront(el)
 		n += endpoint.BlockTokens
 	}
 	return n
 }
 
-// store adds the prompt's blocks and publishes what became of its head.
-// With lose set the event is dropped, which readers see as a gap.
-func (c *prefixCache) store(prompt string, lose bool) {
+// store adds the prompt's blocks and publishes how much is cached for its head
+// and which heads were evicted. With drop set each event pushes the oldest one
+// out of the feed; readers that haven't read that one see a gap.
+func (c *prefixCache) store(prompt string, drop bool) {
 	head, ok := endpoint.Head(prompt)
 	if !ok {
 		return
@@ -57,34 +58,34 @@
 	blocks := endpoint.Blocks(prompt)
 	for _, b := range blocks {
 		if el, ok := c.blocks[b]; ok {
-			c.order.MoveToFront(el)
+			c.lru.MoveToFront(el)
 			continue
 		}
-		c.blocks[b] = c.order.PushFront(b)
+		c.blocks[b] = c.lru.PushFront(b)
 	}
-	c.heads[blocks[0]] = head
-	c.depth[head] = len(blocks) * endpoint.BlockTokens
-	c.publish(endpoint.CacheEvent{Head: head, Tokens: c.depth[head]}, lose)
-	for c.order.Len() > c.limit {
-		old := c.order.Remove(c.order.Back()).(uint64)
-		delete(c.blocks, old)
-		if h, ok := c.heads[old]; ok {
-			delete(c.heads, old)
-			delete(c.depth, h)
-			c.publish(endpoint.CacheEvent{Head: h}, lose)
+	c.headByBlock[blocks[0]] = head
+	c.cachedTokens[head] = len(blocks) * endpoint.BlockTokens
+	c.publish(endpoint.CacheEvent{Head: head, Tokens: c.cachedTokens[head]}, drop)
+	for c.lru.Len() > c.limit {
+		evicted := c.lru.Remove(c.lru.Back()).(uint64)
+		delete(c.blocks, evicted)
+		if evictedHead, ok := c.headByBlock[evicted]; ok {
+			delete(c.headByBlock, evicted)
+			delete(c.cachedTokens, evictedHead)
+			c.publish(endpoint.CacheEvent{Head: evictedHead}, drop)
 		}
 	}
 }
 
-func (c *prefixCache) publish(e endpoint.CacheEvent, lose bool) {
+func (c *prefixCache) publish(e endpoint.CacheEvent, drop bool) {
 	c.events = append(c.events, e)
-	if lose || len(c.events) > maxEvents {
+	if drop || len(c.events) > maxEvents {
 		c.events = c.events[1:]
 		c.first++
 	}
 }
 
-func (c *prefixCache) after(seq uint64) endpoint.CacheEvents {
+func (c *prefixCache) eventsAfter(seq uint64) endpoint.CacheEvents {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	next := c.first + uint64(len(c.events))
--- a/internal/fake/decode.go
+++ b/internal/fake/decode.go
@@ -10,59 +10,59 @@
 	"github.com/embercove/embercove/endpoint"
 )
 
-// transferTick is how often the progress of a transfer is worked out.
-const transferTick = 10 * time.Millisecond
+// transferInterval is how often the progress of a transfer is computed.
+const transferInterval = 10 * time.Millisecond
 
-// decode admits a request if its memory allows, imports the KV cache and
-// writes the answer as a stream.
+// decode admits a request if there is free memory and a free slot, imports the
+// KV cache and streams the answer.
 func (r *Runner) decode(w http.ResponseWriter, q *http.Request, comp endpoint.Completion) {
 	need := endpoint.Tokens(len(comp.Prompt)) + comp.MaxTokens
 	r.mu.Lock()
-	full := r.used+need > r.spec.MemoryTokens || len(r.held) >= r.spec.Slots
+	full := r.memoryUsed+need > r.spec.MemoryTokens || len(r.held) >= r.spec.Slots
 	r.mu.Unlock()
 	if full {
-		refuse(w, http.StatusServiceUnavailable, "memory is full", true)
+		writeProblem(w, http.StatusServiceUnavailable, "memory is full", true)
 		return
 	}
-	h := r.hold(q, comp, need)
-	defer r.drop(h)
-	defer close(h.done)
+	a := r.admit(q, comp, need)
+	defer r.release(a)
+	defer close(a.finished)
 	if !r.faults.get().IgnoreResume {
-		h.next = comp.ResumeFrom
+		a.next = comp.ResumeFrom
 	}
-	h.last = AnswerLength(comp.Prompt, comp.MaxTokens)
-	h.out = make(chan int, max(0, h.last-h.next)+1)
-	go r.watch(q, h)
+	a.length = AnswerLength(comp.Prompt, comp.MaxTokens)
+	a.indexes = make(chan int, max(0, a.length-a.next)+1)
+	go r.watchCaller(q, a)
 	time.Sleep(time.Duration(r.faults.get().LateMillis) * time.Millisecond)
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
-	s := &sink{w: w, f: http.NewResponseController(w), id: h.attempt}
-	_ = s.f.Flush()
-	if comp.Transfer != nil && !r.importKV(q.Context(), h, comp.Transfer, s) {
-		r.truth.set(func() { h.rec.Aborted = true })
-		hangUp(w)
+	s := &eventWriter{w: w, controller: http.NewResponseController(w), id: a.id}
+	_ = s.controller.Flush()
+	if comp.Transfer != nil && !r.importKV(q.Context(), a, comp.Transfer, s) {
+		r.records.update(func() { a.record.Aborted = true })
+		closeConn(w)
 		return
 	}
-	r.join(h)
-	r.write(w, h, s)
+	r.joinBatch(a)
+	r.streamTokens(w, a, s)
 }
 
-// sink writes server-sent events.
-type sink struct {
-	w  http.ResponseWriter
-	f  *http.ResponseController
-	id string
+// eventWriter writes server-sent events.
+type eventWriter struct {
+	w          http.ResponseWriter
+	controller *http.ResponseController
+	id         string
 }
 
-func (s *sink) send(c endpoint.Chunk) {
+func (s *eventWriter) send(c endpoint.Chunk) {
 	b, _ := json.Marshal(c)
 	fmt.Fprintf(s.w, "data: %s\n\n", b)
-	_ = s.f.Flush()
+	_ = s.controller.Flush()
 }
 
-// importKV pulls an export over the engine's link, which all transfers into
-// it share. It reports whether the whole cache arrived.
-func (r *Runner) importKV(ctx context.Context, h *holding, t *endpoint.Transfer, s *sink) bool {
+// importKV pulls an export over the engine's link, which all transfers into the
+// engine share equally. It reports whether the whole KV cache arrived.
+func (r *Runner) importKV(ctx context.Context, a *attempt, t *endpoint.Transfer, s *eventWriter) bool {
 	url := "http://" + t.Address + pathKV + t.Handle
 	if !r.callKV(ctx, http.MethodPost, url) {
 		return false
@@ -75,26 +75,26 @@
 		r.imports--
 		r.mu.Unlock()
 	}()
-	stall := r.faults.take(func(f *Faults) *int { return &f.StallTransfers })
-	var have, told int64
-	for have < t.Bytes {
+	stall := r.faults.consume(func(f *Faults) *int { return &f.StallTransfers })
+	var received, reported int64
+	for received < t.Bytes {
 		select {
-		case <-h.gone:
+		case <-a.aborted:
 			r.callKV(context.WithoutCancel(ctx), http.MethodPut, url)
 			return false
-		case <-time.After(transferTick):
+		case <-time.After(transferInterval):
 		}
-		if stall && have > t.Bytes/2 {
+		if stall && received > t.Bytes/2 {
 			continue
 		}
 		r.mu.Lock()
-		n := r.imports
+		transfers := r.imports
 		r.mu.Unlock()
-		have += int64(float64(r.spec.LinkBytesPerSecond) * transferTick.Seconds() / float64(n) / r.faults.get().slow())
-		have = min(have, t.Bytes)
-		if have-told > t.Bytes/8 {
-			told = have
-			s.send(endpoint.Chunk{ID: s.id, Imported: &told})
+		received += int64(float64(r.spec.LinkBytesPerSecond) * transferInterval.Seconds() / float64(transfers) / r.faults.get().slowdown())
+		received = min(received, t.Bytes)
+		if received-reported > t.Bytes/8 {
+			reported = received
+			s.send(endpoint.Chunk{ID: s.id, Imported: &reported})
 		}
 	}
 	return r.callKV(ctx, http.MethodDelete, url)
@@ -107,7 +107,7 @@
 	if err != nil {
 		return false
 	}
-	res, err := r.peers.Do(req)
+	res, err := r.client.Do(req)
 	if err != nil {
 		return false
 	}
@@ -115,30 +115,30 @@
 	return res.StatusCode == http.StatusOK
 }
 
-// join adds a request to the batch and starts the step loop if it rests.
-func (r *Runner) join(h *holding) {
+// joinBatch adds a request to the batch and starts the step loop if it isn't running.
+func (r *Runner) joinBatch(a *attempt) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.waiting = append(r.waiting, h)
-	if !r.steps {
-		r.steps = true
+	r.queue = append(r.queue, a)
+	if !r.stepping {
+		r.stepping = true
 		go r.stepLoop()
 	}
 }
 
-// stepLoop writes one token for each request of the batch at every step; a
-// step takes longer the larger the batch is.
+// stepLoop decodes one token for each request of the batch at every step. The
+// larger the batch is, the longer a step takes.
 func (r *Runner) stepLoop() {
 	for {
 		r.mu.Lock()
-		n := len(r.waiting)
+		n := len(r.queue)
 		if n == 0 {
-			r.steps = false
+			r.stepping = false
 			r.mu.Unlock()
 			return
 		}
 		r.mu.Unlock()
-		micros := float64(r.spec.StepMicros+(n-1)*r.spec.StepMicrosEach) * r.faults.get().slow()
+		micros := float64(r.spec.StepMicros+(n-1)*r.spec.StepMicrosEach) * r.faults.get().slowdown()
 		time.Sleep(time.Duration(micros) * time.Microsecond)
 		r.step()
 	}
@@ -147,65 +147,65 @@
 func (r *Runner) step() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	kept := r.waiting[:0]
-	for _, h := range r.waiting {
+	kept := r.queue[:0]
+	for _, a := range r.queue {
 		select {
-		case <-h.gone:
-			close(h.out)
+		case <-a.aborted:
+			close(a.indexes)
 			continue
 		default:
 		}
-		if h.next < h.last {
-			h.out <- h.next
-			h.next++
+		if a.next < a.length {
+			a.indexes <- a.next
+			a.next++
 		}
-		if h.next >= h.last {
-			close(h.out)
+		if a.next >= a.length {
+			close(a.indexes)
 			continue
 		}
-		kept = append(kept, h)
+		kept = append(kept, a)
 	}
-	r.waiting = kept
+	r.queue = kept
 }
 
-// write relays the tokens of a request to its caller.
-func (r *Runner) write(w http.ResponseWriter, h *holding, s *sink) {
+// streamTokens sends the tokens of a request to its caller as they are decoded.
+func (r *Runner) streamTokens(w http.ResponseWriter, a *attempt, s *eventWriter) {
 	f := r.faults.get()
-	breaks := r.faults.take(func(f *Faults) *int { return &f.BreakStreams })
-	hash, sent := PromptHash(h.prompt), 0
-	for i := range h.out {
-		if breaks && sent >= f.BreakAfter {
-			h.abort()
+	breakStream := r.faults.consume(func(f *Faults) *int { return &f.BreakStreams })
+	hash, sent := PromptHash(a.prompt), 0
+	for i := range a.indexes {
+		if breakStream && sent >= f.BreakAfter {
+			a.abort()
 			if f.CleanBreak {
 				fmt.Fprint(w, "data: [DONE]\n\n")
 				return
 			}
-			hangUp(w)
+			closeConn(w)
 			return
 		}
 		id, text := s.id, Token(hash, i)
-		if r.faults.take(func(f *Faults) *int { return &f.CrossAnswers }) {
+		if r.faults.consume(func(f *Faults) *int { return &f.CrossAnswers }) {
 			id, text = "0-0-0.0", Token(hash+1, i)
 		}
 		c := endpoint.Chunk{ID: id, Offset: i, Choices: []endpoint.Choice{{Text: text}}}
-		if i == h.last-1 {
+		if i == a.length-1 {
 			c.Choices[0].FinishReason = "stop"
-			c.Usage = &endpoint.Usage{PromptTokens: endpoint.Tokens(len(h.prompt)), CompletionTokens: h.last}
+			c.Usage = &endpoint.Usage{PromptTokens: endpoint.Tokens(len(a.prompt)), CompletionTokens: a.length}
 		}
 		s.send(c)
 		sent++
-		r.truth.set(func() { h.rec.Tokens = sent })
+		r.records.update(func() { a.record.Tokens = sent })
 	}
 	select {
-	case <-h.gone:
-		r.truth.set(func() { h.rec.Aborted = true })
-		hangUp(w)
+	case <-a.aborted:
+		r.records.update(func() { a.record.Aborted = true })
+		closeConn(w)
 		return
 	default:
 	}
-	r.truth.set(func() { h.rec.Finished = true })
-	if r.faults.take(func(f *Faults) *int { return &f.CutAfter }) {
-		hangUp(w)
+	r.records.update(func() { a.record.Finished = true })
+	if r.faults.consume(func(f *Faults) *int { return &f.CutAfter }) {
+		closeConn(w)
 		return
 	}
 	fmt.Fprint(w, "data: [DONE]\n\n")
--- a/internal/fake/doc.go
+++ b/internal/fake/doc.go
@@ -1,7 +1,8 @@
-// Package fake holds small stand-ins for what embercove meets: model runners,
-// plain services, the platform and a network with cuts. They serve tests,
-// trials and the demo.
+// Package fake holds small stand-ins for the systems around embercove: model
+// runners, plain services, the platform and a network that can be cut. Tests,
+// trials and the demo use them.
 //
-// Each stand-in keeps its own truth of what ran, how often and for whom, so
-// that a promise is judged by the endpoint and not by the router's word.
+// Each stand-in records what ran on it, how often and for which request. Tests
+// check the router's guarantees against these records and not against what the
+// router reports.
 package fake
--- a/internal/fake/faults.go
+++ b/internal/fake/faults.go
@@ -2,53 +2,54 @@
 
 import "sync"
 
-// Faults are what a stand-in does wrong. Counts say how many of the next
-// calls are struck; they fall to zero by themselves.
+// Faults configures fault injection in a stand-in. Each field of type int,
+// except BreakAfter, LateMillis and LagMillis, is the number of the next calls
+// that get the fault, and counts down to zero.
 type Faults struct {
-	RefuseShare    float64 `json:"refuse_share"`     // refused, vouched as not run
-	CutBefore      int     `json:"cut_before"`       // connection closed before anything ran
-	CutAfter       int     `json:"cut_after"`        // connection closed after the work, without the answer
-	BreakStreams   int     `json:"break_streams"`    // streams that die after BreakAfter tokens
-	BreakAfter     int     `json:"break_after"`      // tokens before a broken stream dies
-	CleanBreak     bool    `json:"clean_break"`      // a broken stream ends like a whole one
-	IgnoreResume   bool    `json:"ignore_resume"`    // resumed streams begin anew
+	RefuseShare    float64 `json:"refuse_share"`     // share of calls refused, reported as not run
+	CutBefore      int     `json:"cut_before"`       // connection closed before any work
+	CutAfter       int     `json:"cut_after"`        // connection closed after the work, without the end of the answer
+	BreakStreams   int     `json:"break_streams"`    // streams that break after BreakAfter tokens
+	BreakAfter     int     `json:"break_after"`      // tokens sent before the break
+	CleanBreak     bool    `json:"clean_break"`      // a broken stream ends like a complete one
+	IgnoreResume   bool    `json:"ignore_resume"`    // resumed streams start again at the first token
 	CrossAnswers   int     `json:"cross_answers"`    // chunks that carry another attempt's id
-	StallTransfers int     `json:"stall_transfers"`  // transfers that stop half-way
+	StallTransfers int     `json:"stall_transfers"`  // transfers that stall half-way
 	LateMillis     int     `json:"late_ms"`          // delay of every answer
-	Slow           float64 `json:"slow"`             // factor on the time of work; 0 means 1
-	LoseCancels    bool    `json:"lose_cancels"`     // disconnects and aborts go unheard
-	LoseEvents     float64 `json:"lose_events"`      // share of cache events lost
-	Leaving        bool    `json:"leaving"`          // reported as leaving
-	LagMillis      int     `json:"lag_ms"`           // age of reported load
-	WrongState     string  `json:"wrong_version"`    // version the runner falls back to
-	IgnoreFences   bool    `json:"ignore_fences"`    // takes orders of any age
-	DropOrders     int     `json:"drop_orders"`      // orders that are acknowledged and not carried out
-	RefuseUnvouch  int     `json:"refuse_unvouched"` // refused without vouching that nothing ran
+	Slow           float64 `json:"slow"`             // factor on the duration of work; 0 means 1
+	LoseCancels    bool    `json:"lose_cancels"`     // disconnects and aborts are ignored
+	LoseEvents     float64 `json:"lose_events"`      // share of cache events lost, 0 to 1
+	Leaving        bool    `json:"leaving"`          // the state report says that the endpoint is leaving
+	LagMillis      int     `json:"lag_ms"`           // maximum age of the reported load
+	WrongState     string  `json:"wrong_version"`    // version the runner reports and serves instead of its own
+	IgnoreFences   bool    `json:"ignore_fences"`    // accepts orders with outdated fences
+	DropOrders     int     `json:"drop_orders"`      // orders that are acknowledged but not carried out
+	RefuseUnvouch  int     `json:"refuse_unvouched"` // calls refused without the report that nothing ran
 }
 
-// faultBox holds the faults of a running stand-in.
-type faultBox struct {
-	mu sync.Mutex
-	f  Faults
+// faultState holds the current faults of a running stand-in.
+type faultState struct {
+	mu      sync.Mutex
+	current Faults
 }
 
-func (b *faultBox) get() Faults {
+func (b *faultState) get() Faults {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.f
+	return b.current
 }
 
-func (b *faultBox) set(f Faults) {
+func (b *faultState) set(f Faults) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.f = f
+	b.current = f
 }
 
-// take uses up one of a counted fault and reports whether there was one.
-func (b *faultBox) take(field func(*Faults) *int) bool {
+// consume decrements the count of a fault and reports whether it was above zero.
+func (b *faultState) consume(field func(*Faults) *int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	n := field(&b.f)
+	n := field(&b.current)
 	if *n <= 0 {
 		return false
 	}
@@ -56,7 +57,7 @@
 	return true
 }
 
-func (f Faults) slow() float64 {
+func (f Faults) slowdown() float64 {
 	if f.Slow <= 0 {
 		return 1
 	}
--- a/internal/fake/holding.go
+++ b/internal/fake/holding.go
@@ -9,72 +9,72 @@
 	"github.com/embercove/embercove/endpoint"
 )
 
-// holding is one attempt that the engine holds memory for.
-type holding struct {
-	attempt  string
-	prompt   string
-	tokens   int // memory
-	uncached int
-	priority int
-	since    time.Time
-	rec      *Record
-	gone     chan struct{} // closed when given up
-	once     sync.Once
-	deaf     atomic.Bool   // the caller left and the engine did not hear it
-	done     chan struct{} // prefill: read; decode: closed at the end
-	out      chan int      // decode: numbers of tokens written
-	next     int
-	last     int
+// attempt is one attempt of a request for which the engine holds memory.
+type attempt struct {
+	id           string
+	prompt       string
+	memoryTokens int
+	uncached     int
+	priority     int
+	admitted     time.Time
+	record       *Record
+	aborted      chan struct{} // closed when the attempt is aborted
+	once         sync.Once
+	orphaned     atomic.Bool   // the caller disconnected and the engine ignored it
+	finished     chan struct{} // closed at the end of the prefill or of the decode call
+	indexes      chan int      // decode: indexes of the decoded tokens
+	next         int
+	length       int
 }
 
-func (h *holding) abort() { h.once.Do(func() { close(h.gone) }) }
+func (a *attempt) abort() { a.once.Do(func() { close(a.aborted) }) }
 
-// hold takes memory for an attempt; the caller holds no lock.
-func (r *Runner) hold(q *http.Request, comp endpoint.Completion, tokens int) *holding {
-	h := &holding{attempt: q.Header.Get(endpoint.HeaderRequestID), prompt: comp.Prompt, tokens: tokens,
-		priority: comp.Priority, since: time.Now(), gone: make(chan struct{}), done: make(chan struct{})}
-	h.rec = r.truth.add(Record{ID: h.attempt, Role: string(r.spec.Role), Prompt: PromptHash(comp.Prompt), Ran: true,
+// admit creates an attempt and reserves its memory. The caller must not hold the lock.
+func (r *Runner) admit(q *http.Request, comp endpoint.Completion, tokens int) *attempt {
+	a := &attempt{id: q.Header.Get(endpoint.HeaderRequestID), prompt: comp.Prompt, memoryTokens: tokens,
+		priority: comp.Priority, admitted: time.Now(), aborted: make(chan struct{}), finished: make(chan struct{})}
+	a.record = r.records.add(Record{ID: a.id, Role: string(r.spec.Role), Prompt: PromptHash(comp.Prompt), Ran: true,
 		Repeatable: q.Header.Get(endpoint.HeaderRepeatable) != "false", Leaving: r.faults.get().Leaving,
 		StartedMS: time.Now().UnixMilli()})
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.held[h.attempt] = h
-	r.used += tokens
-	return h
+	r.held[a.id] = a
+	r.memoryUsed += tokens
+	return a
 }
 
-// drop frees an attempt's memory. An engine that did not hear its caller leave
-// keeps it until it is told.
-func (r *Runner) drop(h *holding) {
-	if h.deaf.Load() {
+// release frees an attempt's memory. If the engine ignored the disconnect of the
+// caller, the memory stays reserved until the attempt is aborted by a call.
+func (r *Runner) release(a *attempt) {
+	if a.orphaned.Load() {
 		go func() {
-			<-h.gone
-			r.free(h)
+			<-a.aborted
+			r.free(a)
 		}()
 		return
 	}
-	r.free(h)
+	r.free(a)
 }
 
-func (r *Runner) free(h *holding) {
+func (r *Runner) free(a *attempt) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.held[h.attempt] == h {
-		delete(r.held, h.attempt)
-		r.used -= h.tokens
+	if r.held[a.id] == a {
+		delete(r.held, a.id)
+		r.memoryUsed -= a.memoryTokens
 	}
 }
 
-// watch gives the attempt up when its caller disconnects.
-func (r *Runner) watch(q *http.Request, h *holding) {
+// watchCaller aborts the attempt when its caller disconnects.
+func (r *Runner) watchCaller(q *http.Request, a *attempt) {
 	select {
 	case <-q.Context().Done():
 		if r.faults.get().LoseCancels {
-			h.deaf.Store(true)
+			a.orphaned.Store(true)
 			return
 		}
-		h.abort()
-	case <-h.done:
-	case <-h.gone:
+		a.abort()
+	case <-a.finished:
+	case <-a.aborted:
 	}
 }
--- a/internal/fake/link.go
+++ b/internal/fake/link.go
@@ -6,45 +6,45 @@
 	"time"
 )
 
-// Link is a host's link to the network, with a rate for each direction. All
-// connections of the host share it, piece by piece. A nil link has no limit.
+// Link is a host's link to the network, with a rate limit for each direction.
+// All connections of the host share it, chunk by chunk. A nil link has no limit.
 type Link struct {
-	rate int // bytes a second
+	rate int // bytes per second
 
-	mu   sync.Mutex
-	free [2]time.Time // when what waits for each direction will have passed
+	mu       sync.Mutex
+	nextFree [2]time.Time // by direction: when all bytes that wait now will have passed
 }
 
-// NewLink returns a link with a rate, in bytes a second and direction.
+// NewLink returns a link with a rate in bytes per second, for each direction.
 func NewLink(rate int) *Link { return &Link{rate: rate} }
 
-// linkPiece is how many bytes of one connection pass before those of the next.
-const linkPiece = 8 << 10
+// linkChunk is how many bytes of one connection pass before the next connection has its turn.
+const linkChunk = 8 << 10
 
-// direction is one way over a link.
+// direction is the direction of traffic on a link, as its host sees it.
 type direction int
 
 const (
 	sending direction = iota
-	getting
+	receiving
 )
 
-// SetRate gives a host's link a rate, in bytes a second and direction, for
-// connections that are opened from now on.
+// SetRate limits a host's link to a rate in bytes per second, for each
+// direction. It applies to connections opened from now on.
 func (n *Network) SetRate(host string, rate int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.links[host] = NewLink(rate)
 }
 
-// linkOf returns a host's link, nil if it has no limit.
+// linkOf returns a host's link, or nil if it has no limit.
 func (n *Network) linkOf(host string) *Link {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.links[host]
 }
 
-// hostOf returns the host of an address.
+// hostOf returns the host part of an address.
 func hostOf(address string) string {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
@@ -53,18 +53,18 @@
 	return host
 }
 
-// pass returns when so many bytes have passed after those that came before.
-func (l *Link) pass(bytes int, d direction) {
+// transmit blocks until the bytes have passed the link, after all that were queued before.
+func (l *Link) transmit(bytes int, d direction) {
 	if l == nil {
 		return
 	}
 	l.mu.Lock()
 	now := time.Now()
-	if l.free[d].Before(now) {
-		l.free[d] = now
+	if l.nextFree[d].Before(now) {
+		l.nextFree[d] = now
 	}
-	l.free[d] = l.free[d].Add(time.Duration(bytes) * time.Second / time.Duration(l.rate))
-	until := l.free[d]
+	l.nextFree[d] = l.nextFree[d].Add(time.Duration(bytes) * time.Second / time.Duration(l.rate))
+	until := l.nextFree[d]
 	l.mu.Unlock()
 	time.Sleep(time.Until(until))
 }
--- a/internal/fake/loopback.go
+++ b/internal/fake/loopback.go
@@ -6,13 +6,13 @@
 	"sync/atomic"
 )
 
-// hostsTaken counts the calls of LoopbackHost in this process.
-var hostsTaken atomic.Int64
+// loopbackHosts counts the calls of LoopbackHost in this process.
+var loopbackHosts atomic.Int64
 
-// LoopbackHost returns a loopback address for listeners of stand-ins and hosts
-// whose ports are reserved before they are opened. It is never 127.0.0.1, whose
-// ports any connection made meanwhile may take.
+// LoopbackHost returns a loopback address for stand-ins and hosts whose ports
+// are reserved some time before they listen on them. It is never 127.0.0.1:
+// any outgoing connection made in between may take a port of that address.
 func LoopbackHost() string {
-	const most = 250
-	return fmt.Sprintf("127.%d.%d.1", 1+os.Getpid()%most, 1+hostsTaken.Add(1)%most)
+	const octets = 250
+	return fmt.Sprintf("127.%d.%d.1", 1+os.Getpid()%octets, 1+loopbackHosts.Add(1)%octets)
 }
--- a/internal/fake/network.go
+++ b/internal/fake/network.go
@@ -11,23 +11,23 @@
 	"github.com/pkg/errors"
 )
 
-// Network is a network inside one process, with zones that can be cut off
-// from each other and hosts that can be taken away. Addresses are names to
-// it; a zone is whatever the test calls a failure domain.
+// Network is an in-memory network with zones that can be cut off from each
+// other and hosts that can be removed. Addresses are opaque strings; tests
+// usually make each failure domain a zone.
 type Network struct {
-	mu        sync.Mutex
-	listeners map[string]*listener
-	zone      map[string]string // by address
-	cuts      map[[2]string]bool
-	healed    chan struct{}
-	silenced  int              // how often all open connections went silent
-	links     map[string]*Link // by host, those that have a rate
-	Delay     func(fromZone, toZone string) time.Duration
+	mu          sync.Mutex
+	listeners   map[string]*listener
+	zones       map[string]string // by address
+	cuts        map[[2]string]bool
+	cutsChanged chan struct{}    // closed and replaced at each change of cuts
+	silences    int              // calls of Silence
+	links       map[string]*Link // by host; only hosts with a rate limit
+	Delay       func(fromZone, toZone string) time.Duration
 }
 
 // NewNetwork returns a network without cuts or delays.
 func NewNetwork() *Network {
-	return &Network{listeners: map[string]*listener{}, zone: map[string]string{}, cuts: map[[2]string]bool{}, links: map[string]*Link{}, healed: make(chan struct{})}
+	return &Network{listeners: map[string]*listener{}, zones: map[string]string{}, cuts: map[[2]string]bool{}, links: map[string]*Link{}, cutsChanged: make(chan struct{})}
 }
 
 type listener struct {
@@ -72,71 +72,72 @@
 	defer n.mu.Unlock()
 	l := &listener{n: n, addr: address, accept: make(chan net.Conn), closed: make(chan struct{})}
 	n.listeners[address] = l
-	n.zone[address] = zone
+	n.zones[address] = zone
 	return l
 }
 
-// Cut parts two zones, or heals the cut. Traffic between them hangs, as it
-// does on a real cut; it doesn't fail.
+// Cut cuts two zones off from each other, or heals the cut. As in a real network
+// partition, traffic between them hangs and doesn't fail.
 func (n *Network) Cut(a, b string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cuts[[2]string{a, b}] = cut
 	n.cuts[[2]string{b, a}] = cut
-	close(n.healed)
-	n.healed = make(chan struct{})
+	close(n.cutsChanged)
+	n.cutsChanged = make(chan struct{})
 }
 
-// Silence has every open connection go silent for good, without a reset, as where
-// something between the hosts has forgotten it. Those opened from now on work.
+// Silence makes all open connections drop their traffic for good, without a reset,
+// as when a device between the hosts loses its connection state. New connections work.
 func (n *Network) Silence() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.silenced++
+	n.silences++
 }
 
-// opened returns the mark of a connection that is opened now.
-func (n *Network) opened() int {
+// silenceCount returns how often Silence was called. A connection whose count at opening is lower
+// than the current one is silent.
+func (n *Network) silenceCount() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.silenced
+	return n.silences
 }
 
-// blocked returns a channel that closes at the next change if the zones are
-// cut apart, else nil.
+// blocked returns nil if the zones can reach each other, else a channel that
+// closes at the next change of cuts.
 func (n *Network) blocked(a, b string) chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.cuts[[2]string{a, b}] {
-		return n.healed
+		return n.cutsChanged
 	}
 	return nil
 }
 
-// dialTimeout is how long a dial into a cut hangs.
+// dialTimeout is how long a dial across a cut hangs before it fails.
 const dialTimeout = time.Second
 
-// Dialer returns a dial function for a process in the zone.
+// Dialer returns a dial function for a process in the zone, without a rate limit.
 func (n *Network) Dialer(zone string) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return n.DialerOf(zone, "")
 }
 
-// DialerOf returns a dial function for a process on a host in the zone. What it
-// sends and gets passes the host's link.
+// DialerOf returns a dial function for a process on a host in the zone. Its
+// traffic passes the host's link.
 func (n *Network) DialerOf(zone, host string) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, _, address string) (net.Conn, error) {
 		n.mu.Lock()
-		l, to := n.listeners[address], n.zone[address]
+		l, to := n.listeners[address], n.zones[address]
 		n.mu.Unlock()
 		deadline := time.NewTimer(dialTimeout)
 		defer deadline.Stop()
 		for {
-			healed := n.blocked(zone, to)
-			if healed == nil {
+			changed := n.blocked(zone, to)
+			if changed == nil {
 				break
 			}
 			select {
-			case <-healed:
+			case <-changed:
 			case <-deadline.C:
 				return nil, errors.Wrapf(os.ErrDeadlineExceeded, "dial %s", address)
 			case <-ctx.Done():
@@ -147,10 +148,10 @@
 			return nil, errors.Wrapf(syscall.ECONNREFUSED, "dial %s", address)
 		}
 		a, b := net.Pipe()
-		here, there := n.linkOf(host), n.linkOf(hostOf(address))
+		localLink, remoteLink := n.linkOf(host), n.linkOf(hostOf(address))
 		near, far := newConn(a, n, zone, to), newConn(b, n, to, zone)
-		near.start(here, there)
-		far.start(there, here)
+		near.startDelivery(localLink, remoteLink)
+		far.startDelivery(remoteLink, localLink)
 		select {
 		case l.accept <- far:
 			return near, nil
@@ -166,33 +167,33 @@
 	}
 }
 
-// conn is one end of a connection. What is written waits in a buffer, as in
-// a kernel, and is delivered while the zones are not cut apart.
+// conn is one end of a connection. Writes go into a buffer, like a kernel's send
+// buffer, and are delivered while there is no cut between the zones.
 type conn struct {
 	net.Conn
-	n        *Network
-	from, to string
-	opened   int // by Network.opened
-	out      chan []byte
-	closed   chan struct{} // by this end
-	dead     chan struct{} // the other end is gone
-	once     sync.Once
+	n          *Network
+	from, to   string
+	silences   int // Network.silenceCount at opening
+	out        chan []byte
+	closed     chan struct{} // closed by Close of this end
+	peerClosed chan struct{} // closed when a write to the other end fails
+	once       sync.Once
 
 	fromLink, toLink *Link
 }
 
-// buffered is how many writes wait before a writer has to.
-const buffered = 256
+// writeBuffer is how many writes are buffered before Write blocks.
+const writeBuffer = 256
 
-// drainLimit bounds the delivery of what was written before a close.
-const drainLimit = 100 * time.Millisecond
+// drainTimeout bounds the delivery of buffered writes after a close.
+const drainTimeout = 100 * time.Millisecond
 
 func newConn(c net.Conn, n *Network, from, to string) *conn {
-	return &conn{Conn: c, n: n, from: from, to: to, opened: n.opened(), out: make(chan []byte, buffered), closed: make(chan struct{}), dead: make(chan struct{})}
+	return &conn{Conn: c, n: n, from: from, to: to, silences: n.silenceCount(), out: make(chan []byte, writeBuffer), closed: make(chan struct{}), peerClosed: make(chan struct{})}
 }
 
-// start begins to deliver what is written, over the links of both ends.
-func (c *conn) start(from, to *Link) {
+// startDelivery starts to deliver writes, over the links of both ends.
+func (c *conn) startDelivery(from, to *Link) {
 	c.fromLink, c.toLink = from, to
 	go c.deliver()
 }
@@ -201,7 +202,7 @@
 	select {
 	case <-c.closed:
 		return 0, net.ErrClosed
-	case <-c.dead:
+	case <-c.peerClosed:
 		return 0, net.ErrClosed
 	default:
 	}
@@ -209,18 +210,18 @@
 	case c.out <- append([]byte(nil), p...):
 		return len(p), nil
 	case <-c.closed:
-	case <-c.dead:
+	case <-c.peerClosed:
 	}
 	return 0, net.ErrClosed
 }
 
-// deliver passes on what was written, in order, until the connection ends.
+// deliver delivers buffered writes in order until the connection is closed.
 func (c *conn) deliver() {
 	defer c.Conn.Close()
 	for {
 		select {
 		case p := <-c.out:
-			if !c.pass(p) {
+			if !c.send(p) {
 				return
 			}
 		case <-c.closed:
@@ -230,15 +231,15 @@
 	}
 }
 
-// pass delivers one write once no cut is in the way.
-func (c *conn) pass(p []byte) bool {
-	if c.opened != c.n.opened() {
+// send delivers one write once there is no cut between the zones. It reports whether it succeeded.
+func (c *conn) send(p []byte) bool {
+	if c.silences != c.n.silenceCount() {
 		<-c.closed
 		return false
 	}
-	for healed := c.n.blocked(c.from, c.to); healed != nil; healed = c.n.blocked(c.from, c.to) {
+	for changed := c.n.blocked(c.from, c.to); changed != nil; changed = c.n.blocked(c.from, c.to) {
 		select {
-		case <-healed:
+		case <-changed:
 		case <-c.closed:
 			return false
 		}
@@ -247,22 +248,22 @@
 		time.Sleep(c.n.Delay(c.from, c.to))
 	}
 	for len(p) > 0 {
-		piece := p[:min(len(p), linkPiece)]
-		c.fromLink.pass(len(piece), sending)
-		c.toLink.pass(len(piece), getting)
-		if _, err := c.Conn.Write(piece); err != nil {
-			close(c.dead)
+		chunk := p[:min(len(p), linkChunk)]
+		c.fromLink.transmit(len(chunk), sending)
+		c.toLink.transmit(len(chunk), receiving)
+		if _, err := c.Conn.Write(chunk); err != nil {
+			close(c.peerClosed)
 			return false
 		}
-		p = p[len(piece):]
+		p = p[len(chunk):]
 	}
 	return true
 }
 
-// drain delivers what was written before the close, unless it hangs.
+// drain delivers the writes still buffered at the close, unless delivery hangs.
 func (c *conn) drain() {
-	_ = c.Conn.SetWriteDeadline(time.Now().Add(drainLimit))
-	for c.n.blocked(c.from, c.to) == nil && c.opened == c.n.opened() {
+	_ = c.Conn.SetWriteDeadline(time.Now().Add(drainTimeout))
+	for c.n.blocked(c.from, c.to) == nil && c.silences == c.n.silenceCount() {
 		select {
 		case p := <-c.out:
 			if _, err := c.Conn.Write(p); err != nil {
--- a/internal/fake/platform.go
+++ b/internal/fake/platform.go
@@ -11,22 +11,22 @@
 	"github.com/embercove/embercove/publish"
 )
 
-// Platform is a stand-in for the service that publishes configuration and
-// the list of hosts.
+// Platform is a stand-in for the service that publishes configuration
+// documents and the list of hosts.
 type Platform struct {
 	mu       sync.Mutex
 	docs     []publish.Revision
 	hosts    publish.HostList
 	changed  chan struct{}
 	down     bool
-	staleRev uint64 // a stale replica answers with this revision
+	staleRev uint64 // if not 0, answer like a stale replica at this revision
 	calls    uint64
 }
 
 // NewPlatform returns a platform that has published nothing.
 func NewPlatform() *Platform { return &Platform{changed: make(chan struct{})} }
 
-func (p *Platform) wake() {
+func (p *Platform) notify() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
@@ -40,7 +40,7 @@
 		rev = p.docs[n-1].Revision + 1
 	}
 	p.docs = append(p.docs, publish.Revision{Revision: rev, Document: string(doc)})
-	p.wake()
+	p.notify()
 	return rev
 }
 
@@ -49,7 +49,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.hosts = publish.HostList{Version: p.hosts.Version + 1, Hosts: hosts}
-	p.wake()
+	p.notify()
 }
 
 // SetHostsJSON replaces the list of hosts by a JSON array.
@@ -67,31 +67,31 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.down = down
-	p.wake()
+	p.notify()
 }
 
-// SetStale makes the platform answer as a replica that stopped at rev; 0
-// ends it.
+// SetStale makes the platform answer like a stale replica that stopped at
+// revision rev. 0 ends this.
 func (p *Platform) SetStale(rev uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.staleRev = rev
-	p.wake()
+	p.notify()
 }
 
-// Calls returns how many calls were made, a waiting watch counting as one.
+// Calls returns the number of calls received. A long poll counts as one.
 func (p *Platform) Calls() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.calls
 }
 
-// ServeHTTP answers reads, watches and the control path.
+// ServeHTTP serves reads, long polls and the /control paths.
 func (p *Platform) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	switch q.URL.Path {
 	case publish.PathConfig:
 		p.serve(w, q, func(after uint64) (any, bool) {
-			r, ok := p.newest()
+			r, ok := p.latest()
 			return r, ok && (r.Revision > after || p.staleRev > 0)
 		})
 	case publish.PathHosts:
@@ -116,7 +116,7 @@
 	}
 }
 
-func (p *Platform) newest() (publish.Revision, bool) {
+func (p *Platform) latest() (publish.Revision, bool) {
 	if len(p.docs) == 0 {
 		return publish.Revision{}, false
 	}
@@ -126,7 +126,7 @@
 	return p.docs[len(p.docs)-1], true
 }
 
-// serve answers a long poll.
+// serve answers a long poll with the value that read returns, once that is newer than after.
 func (p *Platform) serve(w http.ResponseWriter, q *http.Request, read func(after uint64) (any, bool)) {
 	after, _ := strconv.ParseUint(q.URL.Query().Get("after"), 10, 64)
 	wait, _ := strconv.Atoi(q.URL.Query().Get("wait_ms"))
--- a/internal/fake/proxy.go
+++ b/internal/fake/proxy.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// Mode is what a proxy does with what passes it.
+// Mode says what a proxy does with the traffic through it.
 type Mode int32
 
-// The modes.
+// Modes of a proxy.
 const (
 	Pass       Mode = iota
-	Delayed         // bytes come late
+	Delayed         // bytes are delayed by proxyDelay
 	Reset           // open connections are reset, new ones refused
-	SilentUp        // what callers send vanishes
-	SilentDown      // what callers are sent vanishes
-	Cut             // nothing passes until the mode changes; then it does, as after a cut of a network
-	Modes           // how many there are
+	SilentUp        // bytes from callers are dropped
+	SilentDown      // bytes to callers are dropped
+	Cut             // bytes are held back until the mode changes, as in a network partition
+	Modes           // number of modes
 )
 
 // String returns the mode's name.
@@ -27,166 +27,168 @@
 	return [Modes]string{"pass", "delayed", "reset", "silent up", "silent down", "cut"}[m]
 }
 
-// proxyDelay is how late bytes come through a delayed proxy: some round trips between
-// failure domains, and less than any time-out.
+// proxyDelay is the delay of bytes in mode Delayed: several round trips between failure domains,
+// but less than any timeout.
 const proxyDelay = 80 * time.Millisecond
 
-// Proxy passes TCP connections on to an address, over a link with a rate, and harms them
-// from outside of both ends.
+// Proxy forwards TCP connections to an address, over a rate-limited link, and injects network
+// faults that neither end causes.
 type Proxy struct {
-	addr   string
-	target string
-	link   *Link
-	mode   atomic.Int32
-	used   atomic.Int64 // when a caller last sent something, in nanoseconds since 1970
+	addr     string
+	target   string
+	link     *Link
+	mode     atomic.Int32
+	lastSent atomic.Int64 // when a caller last sent something, in nanoseconds since 1970
 
-	mu   sync.Mutex
-	l    net.Listener
-	open map[*passage]bool
+	mu       sync.Mutex
+	listener net.Listener
+	conns    map[*proxiedConn]bool
 }
 
-// passage is one connection that a proxy passes on.
-type passage struct {
-	caller, target net.Conn
-	deaf           atomic.Bool // it says nothing more, whatever the mode
+// proxiedConn is one connection that a proxy forwards.
+type proxiedConn struct {
+	caller, upstream net.Conn
+	silent           atomic.Bool // drops all further bytes, whatever the mode
 }
 
-// proxyHost is the loopback address that all proxies of a process listen on.
+// proxyHost returns the loopback address that all proxies of a process listen on.
 var proxyHost = sync.OnceValue(LoopbackHost)
 
-// NewProxy returns a proxy that listens on a loopback address and passes connections on
-// to a target; a nil link has no limit.
+// NewProxy returns a proxy that listens on a loopback address and forwards connections to a
+// target. A nil link has no limit.
 func NewProxy(target string, link *Link) (*Proxy, error) {
 	l, err := net.Listen("tcp", proxyHost()+":0")
 	if err != nil {
 		return nil, err
 	}
-	p := &Proxy{addr: l.Addr().String(), l: l, target: target, link: link, open: map[*passage]bool{}}
-	go p.run(l)
+	p := &Proxy{addr: l.Addr().String(), listener: l, target: target, link: link, conns: map[*proxiedConn]bool{}}
+	go p.acceptLoop(l)
 	return p, nil
 }
 
 // Address returns the address that the proxy listens on.
 func (p *Proxy) Address() string { return p.addr }
 
-// UsedWithin reports whether a caller has sent something within a time.
-func (p *Proxy) UsedWithin(d time.Duration) bool { return time.Since(time.Unix(0, p.used.Load())) < d }
+// UsedWithin reports whether a caller has sent something within the last d.
+func (p *Proxy) UsedWithin(d time.Duration) bool {
+	return time.Since(time.Unix(0, p.lastSent.Load())) < d
+}
 
-// Close ends the proxy and resets what is open.
+// Close stops the proxy for good and resets its connections.
 func (p *Proxy) Close() {
 	p.Stop()
-	p.Set(Pass) // ends what waits at a cut
+	p.Set(Pass) // releases goroutines that wait in mode Cut
 }
 
-// Stop resets what is open and refuses connections, as where the process at the address has
-// ended.
+// Stop resets the open connections and refuses new ones, as when the process at the address has
+// exited.
 func (p *Proxy) Stop() {
 	p.mu.Lock()
-	p.l.Close()
+	p.listener.Close()
 	p.mu.Unlock()
 	p.Reset()
 }
 
-// Again listens at the same address once more.
+// Again listens on the same address again, after Stop.
 func (p *Proxy) Again() error {
 	l, err := net.Listen("tcp", p.addr)
 	if err != nil {
 		return err
 	}
 	p.mu.Lock()
-	p.l = l
+	p.listener = l
 	p.mu.Unlock()
-	go p.run(l)
+	go p.acceptLoop(l)
 	return nil
 }
 
-func (p *Proxy) run(l net.Listener) {
+func (p *Proxy) acceptLoop(l net.Listener) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
 			return
 		}
-		go p.join(c)
+		go p.forward(c)
 	}
 }
 
-// join passes one connection on until an end closes it.
-func (p *Proxy) join(c net.Conn) {
+// forward forwards one connection until one of its ends closes it.
+func (p *Proxy) forward(c net.Conn) {
 	if Mode(p.mode.Load()) == Reset {
 		abort(c)
 		return
 	}
-	up, err := net.Dial("tcp", p.target)
+	upstream, err := net.Dial("tcp", p.target)
 	if err != nil {
 		abort(c)
 		return
 	}
-	way := &passage{caller: c, target: up}
+	pc := &proxiedConn{caller: c, upstream: upstream}
 	p.mu.Lock()
-	p.open[way] = true
+	p.conns[pc] = true
 	p.mu.Unlock()
 	done := make(chan struct{}, 2)
-	go p.copy(way, up, c, sending, done)
-	go p.copy(way, c, up, getting, done)
+	go p.copy(pc, upstream, c, sending, done)
+	go p.copy(pc, c, upstream, receiving, done)
 	<-done
-	if way.deaf.Load() {
-		time.Sleep(deafKept) // the other end isn't told
+	if pc.silent.Load() {
+		time.Sleep(silentLinger) // the other end must not see the close
 	}
 	p.mu.Lock()
-	delete(p.open, way)
+	delete(p.conns, pc)
 	p.mu.Unlock()
 	c.Close()
-	up.Close()
+	upstream.Close()
 }
 
-// deafKept is how long an end of a connection that says nothing stays open once the other
-// is closed: longer than anybody waits for an answer on it.
-const deafKept = 5 * time.Second
+// silentLinger is how long the other end of a silent connection stays open once one end is closed:
+// longer than any caller waits for an answer on it.
+const silentLinger = 5 * time.Second
 
-// swallows reports whether a mode lets what goes one way vanish.
-func (m Mode) swallows(d direction) bool {
-	return m == SilentUp && d == sending || m == SilentDown && d == getting
+// drops reports whether a mode drops bytes in a direction.
+func (m Mode) drops(d direction) bool {
+	return m == SilentUp && d == sending || m == SilentDown && d == receiving
 }
 
-func (p *Proxy) copy(way *passage, to, from net.Conn, d direction, done chan struct{}) {
+func (p *Proxy) copy(pc *proxiedConn, to, from net.Conn, d direction, done chan struct{}) {
 	defer func() { done <- struct{}{} }()
-	buf := make([]byte, linkPiece)
+	buf := make([]byte, linkChunk)
 	for {
 		n, err := from.Read(buf)
 		if err != nil {
 			return
 		}
 		if d == sending {
-			p.used.Store(time.Now().UnixNano())
+			p.lastSent.Store(time.Now().UnixNano())
 		}
-		mode := p.passing()
-		if mode.swallows(d) {
-			way.deaf.Store(true) // what was swallowed makes the rest useless
+		mode := p.waitWhileCut()
+		if mode.drops(d) {
+			pc.silent.Store(true) // the stream now has a gap: nothing after it may pass
 		}
-		if way.deaf.Load() {
+		if pc.silent.Load() {
 			_, _ = io.Copy(io.Discard, from)
 			return
 		}
 		if mode == Delayed {
 			time.Sleep(proxyDelay)
 		}
-		p.link.pass(n, d)
+		p.link.transmit(n, d)
 		if _, err := to.Write(buf[:n]); err != nil {
 			return
 		}
 	}
 }
 
-// cutTick is how often what waits at a cut looks whether it is healed.
-const cutTick = 20 * time.Millisecond
+// cutPollInterval is how often a connection held back in mode Cut checks the mode.
+const cutPollInterval = 20 * time.Millisecond
 
-// passing waits until there is no cut, and returns the mode.
-func (p *Proxy) passing() Mode {
+// waitWhileCut waits until the mode isn't Cut and returns it.
+func (p *Proxy) waitWhileCut() Mode {
 	for {
 		if m := Mode(p.mode.Load()); m != Cut {
 			return m
 		}
-		time.Sleep(cutTick)
+		time.Sleep(cutPollInterval)
 	}
 }
 
@@ -202,25 +204,25 @@
 func (p *Proxy) Reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for way := range p.open {
-		abort(way.caller)
-		abort(way.target)
+	for pc := range p.conns {
+		abort(pc.caller)
+		abort(pc.upstream)
 	}
-	clear(p.open)
+	clear(p.conns)
 }
 
-// Silence has every open connection go silent for good, without a reset, as where
-// something on the way has forgotten it. Those opened from now on work.
+// Silence makes all open connections drop their traffic for good, without a reset, as when a
+// device on the path loses its connection state. New connections work.
 func (p *Proxy) Silence() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for way := range p.open {
-		way.deaf.Store(true)
+	for pc := range p.conns {
+		pc.silent.Store(true)
 	}
 }
 
-// Set changes the mode. Leaving a silent one resets the open connections: their streams
-// have holes.
+// Set changes the mode. Changing from SilentUp or SilentDown resets the open connections, as
+// bytes of their streams were dropped.
 func (p *Proxy) Set(m Mode) {
 	if old := Mode(p.mode.Swap(int32(m))); m == Reset || old == SilentUp || old == SilentDown {
 		p.Reset()
