--- a/trial/cluster.go
+++ b/trial/cluster.go
@@ -1,9 +1,9 @@
 // Package trial runs a whole deployment inside one process: stand-in runners,
-// services and a platform, and any number of entry hosts, on loopback or on a
-// network in memory. The demo, the measurements and the failure tests use it.
+// services and a platform, and any number of entry hosts, on loopback or on an
+// in-memory network. The demo, the measurements and the failure tests use it.
 //
-// It is no simulator of a cluster: the entry hosts are the real ones, and the
-// stand-ins are as small as the interfaces allow.
+// It doesn't simulate a cluster: the entry hosts run the real code, and only the
+// systems around them are stand-ins, as small as the interfaces allow.
 package trial
 
 import (
@@ -22,17 +22,17 @@
 	"github.com/embercove/embercove/node"
 )
 
-// Options say what a cluster is made of.
+// Options configures a cluster.
 type Options struct {
 	Document []byte                          // a configuration document
-	Change   func(d *config.Document)        // adjusts it before it is published; may be nil
-	Settings func(s *config.Settings)        // adjusts each host's settings; may be nil
-	Hosts    int                             // entry hosts, spread over the failure domains
+	Change   func(d *config.Document)        // edits the document before it is published; may be nil
+	Settings func(s *config.Settings)        // edits each host's settings; may be nil
+	Hosts    int                             // number of entry hosts, spread over the failure domains
 	Network  *fake.Network                   // nil: loopback
-	Zone     func(s *config.Settings) string // where on the network a host stands; nil: in its failure domain
-	Log      *zap.Logger                     // nil: nothing is logged
-	Fatal    func(msg string)                // called when an invariant breaks; nil: counted only
-	Faults   func(name string) fake.Faults   // of each stand-in at the start; may be nil
+	Zone     func(s *config.Settings) string // a host's zone on Network; nil: its failure domain
+	Log      *zap.Logger                     // log of every host; nil: none
+	Fatal    func(msg string)                // called when an invariant is violated; nil: violations are only counted
+	Faults   func(name string) fake.Faults   // initial faults of each stand-in, by its endpoint's name; may be nil
 }
 
 // Cluster is a running deployment.
@@ -44,22 +44,22 @@
 	Apps     map[string]*fake.App
 	Doc      *config.Document
 
-	opts    Options
-	servers []*http.Server
-	plat    string // address
+	options      Options
+	servers      []*http.Server
+	platformAddr string
 }
 
-// Start builds and starts a cluster and waits until every host is ready.
+// Start starts a cluster and waits until every host is ready.
 func Start(o Options) (*Cluster, error) {
 	d, err := config.ParseDocument(o.Document)
 	if err != nil {
 		return nil, err
 	}
-	c := &Cluster{Platform: fake.NewPlatform(), Runners: map[string]*fake.Runner{}, Apps: map[string]*fake.App{}, Doc: d, opts: o}
+	c := &Cluster{Platform: fake.NewPlatform(), Runners: map[string]*fake.Runner{}, Apps: map[string]*fake.App{}, Doc: d, options: o}
 	if o.Change != nil {
 		o.Change(d)
 	}
-	if c.plat, err = c.serve("platform", "127.0.9.1:1", c.Platform); err != nil {
+	if c.platformAddr, err = c.serve("platform", "127.0.9.1:1", c.Platform); err != nil {
 		return nil, err
 	}
 	for i := range d.Endpoints {
@@ -76,21 +76,21 @@
 	return c, c.waitReady()
 }
 
-// listen opens an address: the one given on a network in memory, any free
-// one on loopback.
+// listen listens on the address on an in-memory network, or on any free port of
+// loopback.
 func (c *Cluster) listen(zone, address string) (net.Listener, error) {
-	if c.opts.Network != nil {
-		return c.opts.Network.Listen(zone, address), nil
+	if c.options.Network != nil {
+		return c.options.Network.Listen(zone, address), nil
 	}
 	return net.Listen("tcp", "127.0.0.1:0")
 }
 
-// dial returns how processes of a zone reach others; nil is TCP.
+// dial returns the dial function for processes in a zone; nil means TCP.
 func (c *Cluster) dial(zone string) endpoint.Dial {
-	if c.opts.Network == nil {
+	if c.options.Network == nil {
 		return nil
 	}
-	return c.opts.Network.Dialer(zone)
+	return c.options.Network.Dialer(zone)
 }
 
 func (c *Cluster) serve(zone, address string, h http.Handler) (string, error) {
@@ -122,13 +122,13 @@
 	return src, errors.Wrap(err, "document")
 }
 
-// readyLimit bounds the wait for hosts to become ready.
-const readyLimit = 10 * time.Second
+// readyTimeout bounds the wait for hosts to become ready.
+const readyTimeout = 10 * time.Second
 
-// waitReady returns when every host has the configuration and knows every
+// waitReady waits until every host has the configuration and has heard from every
 // other host.
 func (c *Cluster) waitReady() error {
-	deadline := time.Now().Add(readyLimit)
+	deadline := time.Now().Add(readyTimeout)
 	for time.Now().Before(deadline) {
 		if c.ready() {
 			return nil
@@ -152,7 +152,7 @@
 	return true
 }
 
-// Callers returns the caller addresses of the hosts.
+// Callers returns the hosts' addresses for callers.
 func (c *Cluster) Callers() []string {
 	var out []string
 	for _, s := range c.Settings {
@@ -161,12 +161,12 @@
 	return out
 }
 
-// ClientDial returns how callers of a zone reach the hosts; nil is TCP.
+// ClientDial returns the dial function for callers in a zone; nil means TCP.
 func (c *Cluster) ClientDial(zone string) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return c.dial(zone)
 }
 
-// Stop ends everything.
+// Stop stops the hosts and the stand-ins.
 func (c *Cluster) Stop() {
 	for _, n := range c.Nodes {
 		if n != nil {
--- a/trial/endpoints.go
+++ b/trial/endpoints.go
@@ -9,45 +9,48 @@
 	"github.com/embercove/embercove/internal/fake"
 )
 
-// serviceTime is how long the stand-in services take.
-const serviceTime = 15 * time.Millisecond
+// serviceLatency is how long the stand-in services take to answer.
+const serviceLatency = 15 * time.Millisecond
 
 func (c *Cluster) startEndpoint(i int) error {
 	e := &c.Doc.Endpoints[i]
 	var h http.Handler
 	var setFaults func(fake.Faults)
 	if e.Role == config.Service {
-		app := &fake.App{Name: e.Name, Takes: serviceTime}
+		app := &fake.App{Name: e.Name, Takes: serviceLatency}
 		c.Apps[e.Name] = app
 		h, setFaults = app, app.SetFaults
 	}
-	address := fmt.Sprintf("127.8.%d.%d:80", i/250, i%250+1)
-	var run *lateHandler
+	memoryAddr := fmt.Sprintf("127.8.%d.%d:80", i/250, i%250+1)
+	var deferred *deferredHandler
 	if h == nil {
-		run = new(lateHandler)
-		h = run
+		deferred = new(deferredHandler)
+		h = deferred
 	}
-	addr, err := c.serve(e.Domain, address, h)
+	addr, err := c.serve(e.Domain, memoryAddr, h)
 	if err != nil {
 		return err
 	}
 	e.Address = addr
-	if run != nil {
+	if deferred != nil {
 		r := fake.NewRunner(*e, c.kvBytes(e.Model), c.version(e), c.dial(e.Domain))
-		run.h = r
+		deferred.handler = r
 		c.Runners[e.Name] = r
 		setFaults = r.SetFaults
 	}
-	if c.opts.Faults != nil {
-		setFaults(c.opts.Faults(e.Name))
+	if c.options.Faults != nil {
+		setFaults(c.options.Faults(e.Name))
 	}
 	return nil
 }
 
-// lateHandler lets a listener be opened before its handler is known.
-type lateHandler struct{ h http.Handler }
+// deferredHandler serves a listener whose handler is set later: a runner can be created only
+// once the address of its listener is known.
+type deferredHandler struct{ handler http.Handler }
 
-func (l *lateHandler) ServeHTTP(w http.ResponseWriter, q *http.Request) { l.h.ServeHTTP(w, q) }
+func (l *deferredHandler) ServeHTTP(w http.ResponseWriter, q *http.Request) {
+	l.handler.ServeHTTP(w, q)
+}
 
 func (c *Cluster) kvBytes(model string) int64 {
 	for _, m := range c.Doc.Models {
@@ -67,7 +70,7 @@
 	return e.Version
 }
 
-// Truth returns the records of every stand-in.
+// Truth returns the records of all stand-ins.
 func (c *Cluster) Truth() []fake.Record {
 	var out []fake.Record
 	for _, r := range c.Runners {
@@ -79,7 +82,7 @@
 	return out
 }
 
-// Held returns how many attempts hold memory at the stand-ins.
+// Held returns how many attempts hold memory at the stand-in runners.
 func (c *Cluster) Held() int {
 	n := 0
 	for _, r := range c.Runners {
