--- a/load/bound.go
+++ b/load/bound.go
@@ -11,44 +11,45 @@
 	"github.com/embercove/embercove/route"
 )
 
-// Capacity is what the pools of a document can do with a mix, worked out
-// from the stand-ins' rates alone: requests a second at which each resource
-// is fully used by mean work. Prompts count whole: a cache is a gain that a
-// policy has to earn.
+// Capacity is the throughput of a document's pools with a mix: the requests per
+// second at which the mean work fully uses each resource, computed from the
+// stand-ins' rates alone. It assumes that no prompt is cached: what prefix
+// caches save is left to the policy.
 type Capacity struct {
-	Rate    float64 // of the resource that is used up first
-	Prefill float64 // reading prompts
-	Decode  float64 // holding decode memory and slots
-	Link    float64 // moving KV cache into the decode engines
+	Rate    float64 // the smallest of the three below
+	Prefill float64 // prefill of prompts
+	Decode  float64 // use of decode memory and slots
+	Link    float64 // transfer of KV caches into the decode engines
 }
 
-// sampleSpan and sampleRate give the sample that mean work is taken from.
+// Size of the sample of arrivals from which the mean work is computed.
 const (
-	sampleSpan = 200 * time.Second
-	sampleRate = 20
+	sampleDuration = 200 * time.Second
+	sampleRate     = 20
 )
 
-// Capacity returns what the document's pools can do with the mix. Fractions
-// of requests pack into memory here and no target is looked at, so at 1.0 a
-// policy has to make up for both by cached prefixes.
+// Capacity returns the capacity of the document's pools for the mix. It counts
+// fractions of requests in decode memory and ignores the latency targets, so at
+// a load of 1.0 a policy has to make up for both with cached prefixes.
 func (m Mix) Capacity(d *config.Document) Capacity {
-	arrivals := m.Arrivals(1, sampleRate, sampleSpan, 0)
-	read, hold, move := 0.0, 0.0, 0.0
+	arrivals := m.Arrivals(1, sampleRate, sampleDuration, 0)
+	prefill, decode, transfer := 0.0, 0.0, 0.0
 	pre, dec := pools(d)
 	for _, a := range arrivals {
 		tokens := float64(endpoint.Tokens(len(a.Prompt)))
-		read += tokens / pre.rate
-		hold += dec.slotSeconds(a)
-		move += tokens * dec.kv / dec.links
+		prefill += tokens / pre.tokensPerSecond
+		decode += dec.poolSeconds(a)
+		transfer += tokens * dec.kvBytesPerToken / dec.totalLinkRate
 	}
 	n := float64(len(arrivals))
-	c := Capacity{Prefill: n / read, Decode: n / hold, Link: n / move}
+	c := Capacity{Prefill: n / prefill, Decode: n / decode, Link: n / transfer}
 	c.Rate = min(c.Prefill, c.Decode, c.Link)
 	return c
 }
 
-// uncached returns the tokens of an arrival that no earlier one brought in.
-func uncached(a Arrival, seen map[uint64]bool) int {
+// uncachedTokens returns the prompt tokens of an arrival that aren't in seen, the
+// blocks of earlier prompts, and adds its blocks there. It is at least 1.
+func uncachedTokens(a Arrival, seen map[uint64]bool) int {
 	blocks := endpoint.Blocks(a.Prompt)
 	tokens := endpoint.Tokens(len(a.Prompt))
 	for _, b := range blocks {
@@ -60,74 +61,76 @@
 	return max(1, tokens)
 }
 
-type prefillPool struct{ rate float64 }
+type prefillPool struct{ tokensPerSecond float64 }
 
-// decodePool is the decode engines taken together: how many requests they
-// hold, and how long a step of a full batch takes.
+// decodePool sums up all decode engines: how many requests they can hold, and
+// how long a step with a full batch takes.
 type decodePool struct {
-	slots  float64
-	memory float64
-	step   time.Duration
-	link   float64 // bytes a second into one engine
-	links  float64 // into all
-	kv     float64
+	slots           float64
+	memory          float64
+	stepTime        time.Duration
+	linkRate        float64 // bytes per second into one engine
+	totalLinkRate   float64 // bytes per second into all engines
+	kvBytesPerToken float64
 }
 
 func pools(d *config.Document) (prefillPool, decodePool) {
-	var p prefillPool
-	var c decodePool
+	var pre prefillPool
+	var dec decodePool
 	for i := range d.Endpoints {
 		e := &d.Endpoints[i]
 		switch e.Role {
 		case config.Prefill:
-			p.rate += e.TokensPerSecond
+			pre.tokensPerSecond += e.TokensPerSecond
 		case config.Decode:
 			n := route.BatchLimit(e, d.Targets.TPOT())
-			c.slots += float64(n)
-			c.memory += float64(e.MemoryTokens)
-			c.step = max(c.step, route.StepTime(e, n))
-			c.link = float64(e.LinkBytesPerSecond)
-			c.links += c.link
+			dec.slots += float64(n)
+			dec.memory += float64(e.MemoryTokens)
+			dec.stepTime = max(dec.stepTime, route.StepTime(e, n))
+			dec.linkRate = float64(e.LinkBytesPerSecond)
+			dec.totalLinkRate += dec.linkRate
 		}
 	}
 	if len(d.Models) > 0 {
-		c.kv = float64(d.Models[0].KVBytesPerToken)
+		dec.kvBytesPerToken = float64(d.Models[0].KVBytesPerToken)
 	}
-	return p, c
+	return pre, dec
 }
 
-// slotSeconds returns how much of the whole decode pool a request uses, in
-// seconds: by slots or by memory, whichever is more.
-func (c decodePool) slotSeconds(a Arrival) float64 {
+// poolSeconds returns the seconds for which a request would occupy the whole
+// decode pool, by its share of the slots or of the memory, whichever is larger.
+func (p decodePool) poolSeconds(a Arrival) float64 {
 	tokens := endpoint.Tokens(len(a.Prompt))
-	stay := float64(tokens)*c.kv/c.link + float64(fake.AnswerLength(a.Prompt, a.MaxTokens))*c.step.Seconds()
-	return stay * math.Max(1/c.slots, float64(tokens+a.MaxTokens)/c.memory)
+	duration := float64(tokens)*p.kvBytesPerToken/p.linkRate + float64(fake.AnswerLength(a.Prompt, a.MaxTokens))*p.stepTime.Seconds()
+	return duration * math.Max(1/p.slots, float64(tokens+a.MaxTokens)/p.memory)
 }
 
-// Bound returns the most arrivals that could be answered in time: as many as
-// fit, the least work first, into what the prefill pool can read with ideal
-// caches and into what the links can move, within the span and one target.
-// Callers that will leave are left out, so a policy that answers some of them
-// first can pass it. It ignores decode memory, packing and order.
+// Bound returns an upper bound on the arrivals that can be answered in time: the
+// number that fit, those with the least work first, into the capacity of the
+// prefill pool with ideal caches and into that of the links, within the span plus
+// one TTFT target. Callers that will leave aren't counted, so a policy that
+// answers some of them before they leave can exceed the bound. It ignores decode
+// memory, its fragmentation and the order of the arrivals.
 func Bound(d *config.Document, arrivals []Arrival, span time.Duration) int {
 	pre, dec := pools(d)
-	var read, move []float64
+	var prefill, transfer []float64
 	seen := map[uint64]bool{}
 	for _, a := range arrivals {
 		if a.Leaves == 0 {
-			read = append(read, float64(uncached(a, seen))/pre.rate)
-			move = append(move, float64(endpoint.Tokens(len(a.Prompt)))*dec.kv/dec.links)
+			prefill = append(prefill, float64(uncachedTokens(a, seen))/pre.tokensPerSecond)
+			transfer = append(transfer, float64(endpoint.Tokens(len(a.Prompt)))*dec.kvBytesPerToken/dec.totalLinkRate)
 		}
 	}
 	within := (span + d.Targets.TTFT()).Seconds()
-	return min(mostWithin(read, within), mostWithin(move, within))
+	return min(maxWithin(prefill, within), maxWithin(transfer, within))
 }
 
-// mostWithin returns how many of the works fit into a time.
-func mostWithin(work []float64, left float64) int {
+// maxWithin returns how many pieces of work, in seconds, fit into the available
+// time. It sorts them.
+func maxWithin(work []float64, available float64) int {
 	sort.Float64s(work)
 	for n, w := range work {
-		if left -= w; left < 0 {
+		if available -= w; available < 0 {
 			return n
 		}
 	}
--- a/load/judge.go
+++ b/load/judge.go
@@ -8,41 +8,41 @@
 	"github.com/embercove/embercove/result"
 )
 
-// Judge compares what callers saw with the stand-ins' truth and returns every
-// broken promise in words. broken says whether a connection may have broken
-// without a numbered answer, because the arrival's host was killed.
-func Judge(rs []Result, truth []fake.Record, broken func(Arrival) bool) []string {
+// Judge compares what callers saw with the stand-ins' records and describes each
+// violated guarantee. broken reports whether an arrival's connection may have
+// broken without a result code, because its host was killed.
+func Judge(results []Result, records []fake.Record, broken func(Arrival) bool) []string {
 	var out []string
-	fail := func(r Result, format string, args ...any) {
+	addViolation := func(r Result, format string, args ...any) {
 		out = append(out, fmt.Sprintf("%s at %s (%s): ", r.Kind, r.At, r.Code)+fmt.Sprintf(format, args...))
 	}
-	prefills, decodes := runs(truth)
-	for _, r := range rs {
+	prefills, decodes := countRuns(records)
+	for _, r := range results {
 		hash := fake.PromptHash(r.Prompt)
 		switch {
 		case r.Garbled:
-			fail(r, "a wrong, missing or doubled token among %d", r.Tokens)
+			addViolation(r, "a wrong, missing or duplicated token among %d", r.Tokens)
 		case r.Code == result.OK && !r.Correct:
-			fail(r, "a clean end after %d tokens that are not the whole right answer", r.Tokens)
+			addViolation(r, "ended cleanly after %d tokens that are not the complete correct answer", r.Tokens)
 		case r.Code == 0 && !r.Left && !broken(r.Arrival):
-			fail(r, "no numbered answer after %s and %d tokens", r.Took, r.Tokens)
+			addViolation(r, "no numbered answer after %s and %d tokens", r.Took, r.Tokens)
 		case r.NotRun && !r.Code.NotRun():
-			fail(r, "not_run on a code that doesn't promise it")
+			addViolation(r, "not_run with a code that doesn't guarantee it")
 		}
-		if r.NotRun && ranBy(r, truth, hash) {
-			fail(r, "refused as not run, but ran %d prefills and %d decodes", prefills[hash], decodes[hash])
+		if r.NotRun && ranBeforeRefusal(r, records, hash) {
+			addViolation(r, "refused as not run, but it ran %d prefills and %d decodes", prefills[hash], decodes[hash])
 		}
 		if r.Once && (prefills[hash] > 1 || decodes[hash] > 1) {
-			fail(r, "not repeatable, but ran %d prefills and %d decodes", prefills[hash], decodes[hash])
+			addViolation(r, "not repeatable, but it ran %d prefills and %d decodes", prefills[hash], decodes[hash])
 		}
 	}
 	return out
 }
 
-// ranBy reports whether a refused request ran. Under an idempotency key it may
-// have been sent again since, so only runs up to the refusal count.
-func ranBy(r Result, truth []fake.Record, hash uint64) bool {
-	for _, rec := range truth {
+// ranBeforeRefusal reports whether a refused request ran. A request with an idempotency key may
+// have been sent again since, so only its runs up to the refusal count.
+func ranBeforeRefusal(r Result, records []fake.Record, hash uint64) bool {
+	for _, rec := range records {
 		if rec.Prompt == hash && rec.Ran && (r.Key == "" || rec.StartedMS <= r.Ended.UnixMilli()) {
 			return true
 		}
@@ -50,10 +50,10 @@
 	return false
 }
 
-// runs counts how often each prompt's work began, by role.
-func runs(truth []fake.Record) (prefills, decodes map[uint64]int) {
+// countRuns counts how often prefill and decode of each prompt started, by prompt hash.
+func countRuns(records []fake.Record) (prefills, decodes map[uint64]int) {
 	prefills, decodes = map[uint64]int{}, map[uint64]int{}
-	for _, rec := range truth {
+	for _, rec := range records {
 		if !rec.Ran {
 			continue
 		}
--- a/load/mix.go
+++ b/load/mix.go
@@ -1,8 +1,8 @@
-// Package load sends open-loop load to entry hosts and judges the answers.
+// Package load sends open-loop load to entry hosts and checks the answers.
 //
-// Arrivals come from a seed, so that every policy meets the same ones. The
-// judge is the caller's clock and the stand-ins' own truth; the router's word
-// is only compared with them.
+// Arrivals are generated from a seed, so that every policy gets the same ones.
+// Results are measured by the caller's clock and the stand-ins' records; what
+// the router reports is only compared with them.
 package load
 
 import (
@@ -16,10 +16,10 @@
 	Name      string
 	Share     float64
 	Team      []string
-	Least     int // prompt tokens
-	Most      int
-	MaxTokens int
-	Shared    float64 // share of prompts that begin with a common document
+	Least     int     // prompt tokens, at least
+	Most      int     // prompt tokens, at most
+	MaxTokens int     // of the answer
+	Shared    float64 // share of prompts that start with a shared document
 }
 
 // Mix is the workload of a deployment.
@@ -28,11 +28,11 @@
 	Model string
 	Words []string
 	Kinds []Kind
-	Docs  int // common documents
+	Docs  int // number of shared documents
 }
 
-// Mixes are the workloads of the two record keepers: very long prompts with
-// short answers, and short prompts with longer answers.
+// Mixes are the workloads of the two example deployments. Both mix very long
+// prompts with short answers and short prompts with longer answers.
 var Mixes = map[string]Mix{
 	"domaskra": {Name: "domaskra", Model: "docket-reader", Words: icelandic, Docs: 40, Kinds: []Kind{
 		{"docket check", 0.55, []string{"lawyers", "press", "public"}, 3000, 18000, 4, 0.4},
@@ -44,30 +44,30 @@
 	}},
 }
 
-// Arrival is one request to come.
+// Arrival is one request of the load.
 type Arrival struct {
-	At        time.Duration
+	At        time.Duration // since the start of the load
 	Kind      string
 	Team      string
 	Prompt    string
 	MaxTokens int
-	Leaves    time.Duration // the caller leaves then; 0: it stays
+	Leaves    time.Duration // the caller disconnects this long after sending; 0: never
 	Once      bool          // the request may not be repeated
 	Key       string        // idempotency key; may be empty
-	KeyAge    time.Duration // how long ago the key was first sent
-	Host      int           // which entry host the balancer picks, modulo their number
+	KeyAge    time.Duration // time since the key was first sent
+	Host      int           // entry host the load balancer picks, modulo the number of hosts
 }
 
-// tokenBytes is how many bytes of a prompt count as a token.
+// tokenBytes is the number of bytes per token of a prompt.
 const tokenBytes = 4
 
-// Arrivals returns the arrivals of a span at a rate, in order. leaving is the
-// share of callers that leave during prefill.
+// Arrivals returns the arrivals of a span, in order, at a rate in requests per
+// second. leaving is the share of callers that disconnect during prefill.
 func (m Mix) Arrivals(seed uint64, rate float64, span time.Duration, leaving float64) []Arrival {
 	r := rand.New(rand.NewPCG(seed, 0x5eed))
 	docs := make([]string, m.Docs)
 	for i := range docs {
-		docs[i] = document(r, m.Words, m.most()*tokenBytes)
+		docs[i] = generateText(r, m.Words, m.maxPromptTokens()*tokenBytes)
 	}
 	var out []Arrival
 	for t := 0.0; ; {
@@ -80,7 +80,7 @@
 	}
 }
 
-func (m Mix) most() int {
+func (m Mix) maxPromptTokens() int {
 	n := 0
 	for _, k := range m.Kinds {
 		n = max(n, k.Most)
@@ -92,10 +92,10 @@
 	k := m.kind(r.Float64())
 	tokens := k.Least + r.IntN(k.Most-k.Least+1)
 	shared := r.Float64() < k.Shared
-	// The rank of a common document falls off as in a power law.
+	// The popularity of the shared documents follows a power law.
 	doc := docs[int(float64(len(docs))*r.Float64()*r.Float64()*r.Float64())]
 	question := fmt.Sprintf(" Spurning %d-%d: ", n, r.Uint32())
-	body := cut(doc, tokens*tokenBytes-len(question))
+	body := truncate(doc, tokens*tokenBytes-len(question))
 	prompt := body + question
 	if !shared {
 		prompt = question + body
--- a/load/report.go
+++ b/load/report.go
@@ -14,7 +14,7 @@
 	"github.com/embercove/embercove/result"
 )
 
-// Report sums up one run.
+// Report summarizes one run.
 type Report struct {
 	Name      string                `json:"name"`
 	Offered   int                   `json:"offered"`
@@ -32,28 +32,28 @@
 	Waste     Waste                 `json:"waste"`
 }
 
-// KindReport is the part of one class of requests, or of one team.
+// KindReport counts the requests of one kind or of one team.
 type KindReport struct {
 	Offered int `json:"offered"`
 	Good    int `json:"good"`
 }
 
-// Waste is prompt work by the stand-ins' own truth, in tokens.
+// Waste is the prefill work by the stand-ins' records, in tokens.
 type Waste struct {
 	Read      int     `json:"read_tokens"`
-	Leavers   int     `json:"wasted_for_leavers"` // the caller left: not all avoidable
+	Leavers   int     `json:"wasted_for_leavers"` // the caller left; not all of it is avoidable
 	Others    int     `json:"wasted_for_others"`
 	Share     float64 `json:"wasted_share_others"`
 	ShareLeft float64 `json:"wasted_share_leavers"`
-	Attempts  float64 `json:"attempts_per_request"` // prefill runs for each request that ran
+	Attempts  float64 `json:"attempts_per_request"` // prefill runs per request that ran
 }
 
-// Sum makes the report of a run.
-func Sum(name string, rs []Result, truth []fake.Record, t config.Targets, span time.Duration) Report {
-	rep := Report{Name: name, Offered: len(rs), Codes: map[string]int{}, Kinds: map[string]KindReport{}}
-	ttft, tpot := hist(), hist()
-	for _, r := range rs {
-		good := r.Whole && r.Correct && r.TTFT <= t.TTFT() && r.TPOT <= t.TPOT()
+// Sum returns the report of a run.
+func Sum(name string, results []Result, records []fake.Record, targets config.Targets, span time.Duration) Report {
+	rep := Report{Name: name, Offered: len(results), Codes: map[string]int{}, Kinds: map[string]KindReport{}}
+	ttft, tpot := newHistogram(), newHistogram()
+	for _, r := range results {
+		good := r.Whole && r.Correct && r.TTFT <= targets.TTFT() && r.TPOT <= targets.TPOT()
 		for _, key := range []string{r.Kind, "team " + r.Team} {
 			k := rep.Kinds[key]
 			k.Offered++
@@ -83,7 +83,7 @@
 	rep.Goodput = float64(rep.Good) / span.Seconds()
 	rep.GoodShare = float64(rep.Good) / float64(max(1, rep.Offered-rep.Left))
 	rep.TTFT, rep.TPOT = quantiles(ttft), quantiles(tpot)
-	rep.Waste = waste(rs, truth)
+	rep.Waste = computeWaste(results, records)
 	return rep
 }
 
@@ -98,35 +98,38 @@
 }
 
 const (
-	leastMicros = 1
-	mostMicros  = 120_000_000
-	figures     = 3
+	minMicros         = 1
+	maxMicros         = 120_000_000
+	significantDigits = 3
 )
 
-func hist() *hdrhistogram.Histogram { return hdrhistogram.New(leastMicros, mostMicros, figures) }
+func newHistogram() *hdrhistogram.Histogram {
+	return hdrhistogram.New(minMicros, maxMicros, significantDigits)
+}
 
 func quantiles(h *hdrhistogram.Histogram) report.Quantiles {
 	at := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
 	return report.Quantiles{P50: at(50), P95: at(95), P99: at(99)}
 }
 
-// waste adds up prompt work that no answer was written from.
-func waste(rs []Result, truth []fake.Record) Waste {
+// computeWaste sums up the prefill work and the part of it whose result was never imported by a
+// decode engine.
+func computeWaste(results []Result, records []fake.Record) Waste {
 	left := map[uint64]bool{}
-	for _, r := range rs {
+	for _, r := range results {
 		if r.Left {
 			left[fake.PromptHash(r.Prompt)] = true
 		}
 	}
 	var w Waste
-	ran := map[uint64]int{}
-	for _, rec := range truth {
+	prefillRuns := map[uint64]int{}
+	for _, rec := range records {
 		if rec.Role != string(config.Prefill) {
 			continue
 		}
 		w.Read += rec.Tokens
 		if rec.Finished {
-			ran[rec.Prompt]++
+			prefillRuns[rec.Prompt]++
 		}
 		switch {
 		case rec.Used:
@@ -137,16 +140,16 @@
 		}
 	}
 	runs := 0
-	for _, n := range ran {
+	for _, n := range prefillRuns {
 		runs += n
 	}
 	w.Share = float64(w.Others) / float64(max(1, w.Read))
 	w.ShareLeft = float64(w.Leavers) / float64(max(1, w.Read))
-	w.Attempts = float64(runs) / float64(max(1, len(ran)))
+	w.Attempts = float64(runs) / float64(max(1, len(prefillRuns)))
 	return w
 }
 
-// Text returns the report for reading.
+// Text returns the report as text.
 func (r Report) Text() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s\n", r.Name)
@@ -154,13 +157,13 @@
 		r.Offered, r.Left, r.Answered, r.Good, 100*r.GoodShare, r.Goodput, r.Wrong)
 	fmt.Fprintf(&b, "  time to first token  p50 %7.1f ms  p95 %7.1f ms  p99 %7.1f ms\n", r.TTFT.P50, r.TTFT.P95, r.TTFT.P99)
 	fmt.Fprintf(&b, "  time per token       p50 %7.1f ms  p95 %7.1f ms  p99 %7.1f ms\n", r.TPOT.P50, r.TPOT.P95, r.TPOT.P99)
-	if r.Waste.Read > 0 { // known of stand-ins of this process only
+	if r.Waste.Read > 0 { // only stand-ins of this process have records here
 		r.wasteText(&b)
 	}
-	for _, k := range sorted(r.Kinds) {
+	for _, k := range sortedKeys(r.Kinds) {
 		fmt.Fprintf(&b, "  %-22s good %d of %d\n", k, r.Kinds[k].Good, r.Kinds[k].Offered)
 	}
-	for _, k := range sorted(r.Codes) {
+	for _, k := range sortedKeys(r.Codes) {
 		fmt.Fprintf(&b, "  %-22s %d\n", k, r.Codes[k])
 	}
 	return b.String()
@@ -171,7 +174,7 @@
 		r.Waste.Read, 100*r.Waste.Share, 100*r.Waste.ShareLeft, r.Waste.Attempts)
 }
 
-func sorted[V any](m map[string]V) []string {
+func sortedKeys[V any](m map[string]V) []string {
 	out := make([]string, 0, len(m))
 	for k := range m {
 		out = append(out, k)
--- a/load/run.go
+++ b/load/run.go
@@ -12,33 +12,33 @@
 	"github.com/embercove/embercove/trial"
 )
 
-// Run is one measured run on stand-ins.
+// Run configures one measured run on stand-ins.
 type Run struct {
 	Deployment string
 	Mode       config.PolicyMode
-	Factor     float64 // of the capacity
+	Factor     float64 // load, as a share of Mix.Capacity
 	Span       time.Duration
-	Leaving    float64
+	Leaving    float64 // share of callers that leave during prefill
 	Seed       uint64
 	Hosts      int
-	LagMillis  int // of the load that engines report
+	LagMillis  int // age of the load that engines report
 	Change     func(d *config.Document)
 	Network    *fake.Network
-	During     func(c *trial.Cluster) // runs beside the load; may be nil
-	Arrivals   []Arrival              // made from the seed when nil
+	During     func(c *trial.Cluster) // runs concurrently with the load; may be nil
+	Arrivals   []Arrival              // nil: generated from the seed
 	Progress   func(done, started int)
 	Fatal      func(msg string)
-	Log        *zap.Logger // of every host; nil: none
+	Log        *zap.Logger // log of every host; nil: none
 }
 
-// DefaultHosts is how many entry hosts a deployment of today has.
+// DefaultHosts is the number of entry hosts of a typical deployment.
 const DefaultHosts = 8
 
-// DefaultLag is the lag of reported load in runs, in ms.
+// DefaultLag is the age of reported load in runs, in milliseconds.
 const DefaultLag = 300
 
-// Do starts a cluster, sends the load and reports. Results are returned for
-// callers that judge more.
+// Do starts a cluster, sends the load and returns the report. It also returns the
+// results, for callers with further checks.
 func (r Run) Do(ctx context.Context) (Report, []Result, error) {
 	mix := Mixes[r.Deployment]
 	hosts := r.Hosts
@@ -67,12 +67,13 @@
 	if r.During != nil {
 		go r.During(c)
 	}
-	rs := s.Send(ctx, arrivals)
-	time.Sleep(settle)
-	rep := Sum(string(r.Mode), rs, c.Truth(), c.Doc.Targets, r.Span)
-	rep.Bound = Bound(c.Doc, arrivals, r.Span)
-	return rep, rs, nil
+	results := s.Send(ctx, arrivals)
+	time.Sleep(settleTime)
+	report := Sum(string(r.Mode), results, c.Truth(), c.Doc.Targets, r.Span)
+	report.Bound = Bound(c.Doc, arrivals, r.Span)
+	return report, results, nil
 }
 
-// settle lets the last cancels arrive before the truth is read.
-const settle = 200 * time.Millisecond
+// settleTime is how long the last cancellations may take to arrive before the
+// stand-ins' records are read.
+const settleTime = 200 * time.Millisecond
--- a/load/send.go
+++ b/load/send.go
@@ -18,19 +18,19 @@
 	"github.com/embercove/embercove/result"
 )
 
-// Result is what the caller of one arrival saw.
+// Result is the outcome of one arrival as its caller saw it.
 type Result struct {
 	Arrival
-	Code    result.Code // 0: the connection broke without a numbered answer
-	NotRun  bool
-	Left    bool // the caller left before its answer was whole
-	Whole   bool // a clean end was seen
-	Garbled bool // a token was wrong, missing or doubled, whatever came after
-	Correct bool // the text is the whole right answer
+	Code    result.Code // 0: the connection broke without a result code
+	NotRun  bool        // the router reported that the request did not run
+	Left    bool        // the caller left before its answer was complete
+	Whole   bool        // the stream ended cleanly
+	Garbled bool        // a token was wrong, missing or duplicated, whatever followed
+	Correct bool        // the text is the complete correct answer
 	Tokens  int
 	TTFT    time.Duration
 	TPOT    time.Duration
-	Retry   time.Duration // when the router said to come back
+	Retry   time.Duration // delay before a retry, as the router reported it
 	Took    time.Duration
 	Ended   time.Time
 }
@@ -43,7 +43,7 @@
 	Progress  func(done, started int) // called about once a second; may be nil
 }
 
-// Send sends every arrival at its time, whatever became of earlier ones, and
+// Send sends every arrival at its time, whether or not earlier ones have ended, and
 // returns the results in order of arrival once all have ended.
 func (s *Sender) Send(ctx context.Context, arrivals []Arrival) []Result {
 	hc := &http.Client{Transport: &http.Transport{DialContext: s.Dial, MaxIdleConnsPerHost: 512}}
@@ -53,7 +53,7 @@
 	var mu sync.Mutex
 	done := 0
 	start := time.Now()
-	told := start
+	lastProgress := start
 	for i, a := range arrivals {
 		if d := a.At - time.Since(start); d > 0 {
 			select {
@@ -62,8 +62,8 @@
 				return out[:i]
 			}
 		}
-		if s.Progress != nil && time.Since(told) > time.Second {
-			told = time.Now()
+		if s.Progress != nil && time.Since(lastProgress) > time.Second {
+			lastProgress = time.Now()
 			mu.Lock()
 			s.Progress(done, i)
 			mu.Unlock()
@@ -71,7 +71,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			out[i] = s.one(ctx, hc, a)
+			out[i] = s.sendOne(ctx, hc, a)
 			mu.Lock()
 			defer mu.Unlock()
 			done++
@@ -81,26 +81,26 @@
 	return out
 }
 
-// patience bounds one call of the sender.
-const patience = 60 * time.Second
+// callTimeout bounds one call.
+const callTimeout = 60 * time.Second
 
-func (s *Sender) one(ctx context.Context, hc *http.Client, a Arrival) Result {
+func (s *Sender) sendOne(ctx context.Context, hc *http.Client, a Arrival) Result {
 	res := Result{Arrival: a}
-	limit := patience
+	limit := callTimeout
 	if a.Leaves > 0 {
 		limit = a.Leaves
 	}
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	began := time.Now()
-	s.call(ctx, hc, a, began, &res)
+	start := time.Now()
+	s.call(ctx, hc, a, start, &res)
 	res.Ended = time.Now()
-	res.Took = res.Ended.Sub(began)
+	res.Took = res.Ended.Sub(start)
 	res.Left = a.Leaves > 0 && !res.Whole && res.Code == 0
 	return res
 }
 
-func (s *Sender) call(ctx context.Context, hc *http.Client, a Arrival, began time.Time, res *Result) {
+func (s *Sender) call(ctx context.Context, hc *http.Client, a Arrival, start time.Time, res *Result) {
 	n := a.MaxTokens
 	body, _ := json.Marshal(entry.Body{Model: s.Model, Prompt: a.Prompt, MaxTokens: &n, Stream: true})
 	addr := s.Addresses[a.Host%len(s.Addresses)]
@@ -123,14 +123,14 @@
 	}
 	defer w.Body.Close()
 	if w.StatusCode != http.StatusOK {
-		refused(w.Body, res)
+		decodeProblem(w.Body, res)
 		return
 	}
-	readStream(w.Body, began, res)
+	readStream(w.Body, start, res)
 	res.Correct = res.Whole && res.Tokens == fake.AnswerLength(a.Prompt, a.MaxTokens)
 }
 
-func refused(r io.Reader, res *Result) {
+func decodeProblem(r io.Reader, res *Result) {
 	var p entry.Problem
 	if json.NewDecoder(io.LimitReader(r, 1<<16)).Decode(&p) != nil {
 		return
@@ -139,12 +139,12 @@
 	res.Retry = time.Duration(p.Error.RetryMillis) * time.Millisecond
 }
 
-// readStream reads an answer and checks each token against the right one.
-func readStream(r io.Reader, began time.Time, res *Result) {
+// readStream reads an answer and checks each token against the expected one.
+func readStream(r io.Reader, start time.Time, res *Result) {
 	sc := bufio.NewScanner(r)
 	hash := fake.PromptHash(res.Prompt)
 	var first, last time.Time
-	right, failed := true, false
+	correct, failed := true, false
 	for sc.Scan() {
 		line := sc.Text()
 		if line == "event: error" {
@@ -156,10 +156,10 @@
 		case !ok:
 			continue
 		case failed:
-			refused(strings.NewReader(data), res)
+			decodeProblem(strings.NewReader(data), res)
 			return
 		case data == "[DONE]":
-			res.Whole = right
+			res.Whole = correct
 			res.Code = result.OK
 			continue
 		}
@@ -169,11 +169,11 @@
 			} `json:"choices"`
 		}
 		if json.Unmarshal([]byte(data), &c) != nil || len(c.Choices) == 0 {
-			right = false
+			correct = false
 			continue
 		}
-		right = right && c.Choices[0].Text == fake.Token(hash, res.Tokens)
-		res.Garbled = !right
+		correct = correct && c.Choices[0].Text == fake.Token(hash, res.Tokens)
+		res.Garbled = !correct
 		res.Tokens++
 		last = time.Now()
 		if first.IsZero() {
@@ -181,7 +181,7 @@
 		}
 	}
 	if !first.IsZero() {
-		res.TTFT = first.Sub(began)
+		res.TTFT = first.Sub(start)
 	}
 	if res.Tokens > 1 {
 		res.TPOT = last.Sub(first) / time.Duration(res.Tokens-1)
--- a/load/table.go
+++ b/load/table.go
@@ -13,15 +13,15 @@
 	"github.com/embercove/embercove/config"
 )
 
-// Table runs every policy at every load on the same arrivals.
+// Table configures a series of runs: every policy at every load, on the same arrivals.
 type Table struct {
 	Deployments []string
-	Loads       string // factors of the capacity, separated by commas
-	Modes       string
+	Loads       string // shares of the capacity, separated by commas
+	Modes       string // policies, separated by commas
 	Span        time.Duration
 	Seed        uint64
-	Beside      int // runs at the same time
-	Told        func(line string)
+	Beside      int               // number of concurrent runs
+	Told        func(line string) // receives a line of progress per run; may be nil
 }
 
 // Row is one run of a table.
@@ -32,10 +32,10 @@
 	Report     Report
 }
 
-// tableLeaving is the share of callers that leave, in every run of a table.
+// tableLeaving is the share of callers that leave during prefill in the runs of a table.
 const tableLeaving = 0.1
 
-// Do runs the table and returns its rows in order.
+// Do runs the table and returns its rows, in order of deployment, load and policy.
 func (t Table) Do(ctx context.Context) ([]Row, error) {
 	var rows []Row
 	for _, d := range t.Deployments {
@@ -50,15 +50,15 @@
 		}
 	}
 	var wg sync.WaitGroup
-	room := make(chan struct{}, max(1, t.Beside))
+	slots := make(chan struct{}, max(1, t.Beside))
 	errs := make([]error, len(rows))
 	for i := range rows {
 		wg.Add(1)
-		room <- struct{}{}
+		slots <- struct{}{}
 		go func() {
 			defer wg.Done()
 			errs[i] = t.run(ctx, &rows[i])
-			<-room
+			<-slots
 		}()
 	}
 	wg.Wait()
@@ -71,19 +71,19 @@
 }
 
 func (t Table) run(ctx context.Context, r *Row) error {
-	rep, _, err := Run{Deployment: r.Deployment, Mode: config.PolicyMode(r.Mode), Factor: r.Factor, Span: t.Span, Leaving: tableLeaving,
+	report, _, err := Run{Deployment: r.Deployment, Mode: config.PolicyMode(r.Mode), Factor: r.Factor, Span: t.Span, Leaving: tableLeaving,
 		Seed: t.Seed, LagMillis: DefaultLag}.Do(ctx)
 	if err != nil {
 		return errors.Wrapf(err, "%s %s", r.Deployment, r.Mode)
 	}
-	r.Report = rep
+	r.Report = report
 	if t.Told != nil {
-		t.Told(fmt.Sprintf("%s %s at %g: good %d of %d", r.Deployment, r.Mode, r.Factor, rep.Good, rep.Offered-rep.Left))
+		t.Told(fmt.Sprintf("%s %s at %g: good %d of %d", r.Deployment, r.Mode, r.Factor, report.Good, report.Offered-report.Left))
 	}
 	return nil
 }
 
-// Markdown returns the rows as a table for docs/RESULTS.md.
+// Markdown formats the rows as a table for docs/RESULTS.md.
 func Markdown(rows []Row) string {
 	var b strings.Builder
 	b.WriteString("| deployment | load | policy | offered | good | good of stayed | of bound | wasted | for leavers | TTFT p50/p95/p99 ms | TPOT p95 ms | wrong |\n")
--- a/load/text.go
+++ b/load/text.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Words of docket bundles and of climate archives, for prompts of realistic
+// Words of court documents and of climate archives, for prompts of realistic
 // length and script.
 var (
 	icelandic = strings.Fields(`héraðsdómur reykjavíkur dagskrá þinghald dómsalur kröfugerð stefnandi stefndi vitni
@@ -16,8 +16,8 @@
 inundación aforo sensor fecha valor corregido faltante observador`)
 )
 
-// document returns text of about n bytes.
-func document(r *rand.Rand, words []string, n int) string {
+// generateText returns about n bytes of random words.
+func generateText(r *rand.Rand, words []string, n int) string {
 	var b strings.Builder
 	b.Grow(n + 16)
 	for b.Len() < n {
@@ -31,8 +31,8 @@
 	return b.String()
 }
 
-// cut returns at most n bytes of s without parting a letter.
-func cut(s string, n int) string {
+// truncate returns at most n bytes of s without splitting a UTF-8 sequence.
+func truncate(s string, n int) string {
 	if n >= len(s) {
 		return s
 	}
