--- a/slope/latency.go
+++ b/slope/latency.go
@@ -13,16 +13,17 @@
 	"github.com/embercove/embercove/trial"
 )
 
-// Latency compares the time to first token by way of an entry host with that
-// of calling the same stand-ins directly, one after the other.
+// Latency compares the time to first token through an entry host with that of
+// calls to the same stand-ins directly, first prefill and then decode.
 type Latency struct {
 	Pairs          int
 	Direct, Routed time.Duration // medians
 	Added          time.Duration // median of the differences
-	Added95        time.Duration // 95 in 100 of the differences are below
+	Added95        time.Duration // 95th percentile of the differences
 }
 
-// MeasureLatency sends pairs of equal short requests on an idle deployment.
+// MeasureLatency sends pairs of short requests of equal length, one directly and one through an
+// entry host, on an idle deployment.
 func MeasureLatency(pairs int) (Latency, error) {
 	c, err := trial.Start(trial.Options{Document: examples.Domaskra, Hosts: 3, Change: func(d *config.Document) {
 		for i := range d.Endpoints {
@@ -39,7 +40,7 @@
 	var direct, routed, added []time.Duration
 	for i := range pairs {
 		prompt := fmt.Sprintf("Hvenær er þinghald í máli %d?", i)
-		d, err := directly(c, client, i, prompt)
+		d, err := measureDirect(c, client, i, prompt)
 		if err != nil {
 			return Latency{}, err
 		}
@@ -54,9 +55,9 @@
 	return Latency{Pairs: pairs, Direct: at(direct, 0.5), Routed: at(routed, 0.5), Added: at(added, 0.5), Added95: at(added, 0.95)}, nil
 }
 
-// directly calls a prefill and a decode stand-in and returns the time to the
+// measureDirect calls a prefill and then a decode stand-in and returns the time to
 // first token.
-func directly(c *trial.Cluster, client *endpoint.Client, n int, prompt string) (time.Duration, error) {
+func measureDirect(c *trial.Cluster, client *endpoint.Client, n int, prompt string) (time.Duration, error) {
 	var pre, dec []config.Endpoint
 	for _, e := range c.Doc.Endpoints {
 		switch e.Role {
--- a/slope/slope.go
+++ b/slope/slope.go
@@ -1,6 +1,6 @@
-// Package slope measures what control costs an entry host: bytes, processor
-// time and memory for each request, endpoint and peer. docs/CAPACITY.md is
-// worked out from these slopes.
+// Package slope measures the control overhead of an entry host: bytes, CPU time
+// and memory per request, endpoint and peer. docs/CAPACITY.md is computed from
+// these slopes.
 package slope
 
 import (
@@ -30,72 +30,72 @@
 // Exchange is the cost of one exchange between two hosts, on each of them.
 type Exchange struct {
 	Hosts, Endpoints int
-	Bytes            float64 // on the wire, both ways
+	Bytes            float64 // on the wire, both directions
 	Processor        time.Duration
-	Heap             float64 // bytes that the tables of one host take
+	Heap             float64 // bytes of one host's tables
 }
 
-// exchanges is how many exchanges a measurement averages over.
-const exchanges = 200
+// exchangeCount is the number of exchanges that a measurement averages over.
+const exchangeCount = 200
 
-// MeasureExchange measures exchanges in a domain with so many hosts and a
-// region with so many endpoints. Every digest changes in between.
+// MeasureExchange measures exchanges between two hosts in a failure domain of hosts
+// hosts and a region of endpoints endpoints. All digests change before each exchange.
 func MeasureExchange(hosts, endpoints int) (Exchange, error) {
 	out := Exchange{Hosts: hosts, Endpoints: endpoints}
-	v, err := bigView(endpoints)
+	v, err := syntheticView(endpoints)
 	if err != nil {
 		return out, err
 	}
 	net := fake.NewNetwork()
-	before := heap()
-	a, b := newSide(net, v, "a", hosts), newSide(net, v, "b", hosts)
-	out.Heap = float64(heap()-before) / 2
+	before := heapBytes()
+	a, b := newBenchHost(net, v, "a", hosts), newBenchHost(net, v, "b", hosts)
+	out.Heap = float64(heapBytes()-before) / 2
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go b.Serve(ctx, net.Listen("z", b.addr))
 	defer a.Close()
-	for range 3 { // connections and types are set up
+	for range 3 { // warm-up: opens connections and sends type descriptions
 		a.Once(ctx, b.addr)
 	}
-	startBytes, startTime := a.Traffic.OnWire(), processor()
-	for range exchanges {
-		a.age(v)
+	startBytes, startCPU := a.Traffic.OnWire(), cpuTime()
+	for range exchangeCount {
+		a.refreshDigests(v)
 		a.Once(ctx, b.addr)
 	}
-	out.Bytes = float64(a.Traffic.OnWire()-startBytes) / exchanges
-	out.Processor = (processor() - startTime) / exchanges / 2 // both sides run here
+	out.Bytes = float64(a.Traffic.OnWire()-startBytes) / exchangeCount
+	out.Processor = (cpuTime() - startCPU) / exchangeCount / 2 // both hosts run in this process
 	runtime.KeepAlive(v)
 	return out, nil
 }
 
-// side is one host of a measured exchange.
-type side struct {
+// benchHost is one of the two hosts of a measured exchange.
+type benchHost struct {
 	*peer.Router
 	board *blackboard.Board
 	addr  string
 }
 
-func newSide(net *fake.Network, v *config.View, name string, hosts int) *side {
+func newBenchHost(net *fake.Network, v *config.View, name string, hosts int) *benchHost {
 	s := &config.Settings{Host: name, Domain: "d0", Region: "r0", Peers: "127.0.0.1:" + name, Platform: "127.0.0.1:1"}
 	s.SetDefaults()
 	b := blackboard.New(s)
 	if _, err := b.Config.Offer(v.Revision, v.Source); err != nil {
-		panic(err) // the document was valid a moment ago
+		panic(err) // syntheticView has parsed the same document
 	}
 	b.Endpoints.Fit(b.Config.View())
 	o := owner.New(b, endpoint.NewClient(net.Dialer("z")), zap.NewNop())
-	sd := &side{Router: peer.NewRouter(b, o, net.Dialer("z"), zap.NewNop()), board: b, addr: s.Peers}
+	bh := &benchHost{Router: peer.NewRouter(b, o, net.Dialer("z"), zap.NewNop()), board: b, addr: s.Peers}
 	for i := range hosts - 1 {
 		n := fmt.Sprintf("host-%d", i)
 		b.Hosts.Learn(blackboard.Host{Name: n, Number: request.HostNumber(n), Domain: "d0", Region: "r0", Peers: "127.0.0.1:9",
 			Incarnation: uint64(1_800_000_000_000 + i), Beat: uint64(100_000 + i)}, time.Now())
 	}
-	sd.age(v)
-	return sd
+	bh.refreshDigests(v)
+	return bh
 }
 
-// age gives every digest a new value, as a busy second does.
-func (s *side) age(v *config.View) {
+// refreshDigests gives every digest a new value, as a second under load does.
+func (s *benchHost) refreshDigests(v *config.View) {
 	now := time.Now()
 	i := 0
 	for n, e := range v.Endpoints.All() {
@@ -103,7 +103,7 @@
 		d := route.Digest{Number: n, SlowPct: 104, TrustPct: 88}
 		if e.Role == config.Prefill {
 			d.QueueMillis = uint32(100 + now.Nanosecond()/1000%900)
-			for h := range heads {
+			for h := range headsPerEndpoint {
 				d.Heads = append(d.Heads, route.HeadDigest{Head: uint32(h*7919 + i), Tokens: uint32(2048 + 256*h)})
 			}
 		} else {
@@ -113,11 +113,11 @@
 	}
 }
 
-// heads is how many cached prompts each prefill engine tells of.
-const heads = 24
+// headsPerEndpoint is the number of cached prompts in each prefill engine's digest.
+const headsPerEndpoint = 24
 
-// bigView returns a revision with so many endpoints, half of them prefill.
-func bigView(n int) (*config.View, error) {
+// syntheticView returns the view of a document with n endpoints, half of them prefill.
+func syntheticView(n int) (*config.View, error) {
 	var b strings.Builder
 	b.WriteString(`{"failure_domains": [{"name": "d0", "region": "r0"}], "models": [{"name": "m", "version": "v1", "max_tokens": 32768, "kv_bytes_per_token": 50000}],
 "routes": [{"name": "all", "requests": "*", "prefill": "*", "decode": "*"}], "targets": {"ttft_ms": 1300, "tpot_ms": 35}, "teams": [`)
@@ -137,18 +137,18 @@
 	return config.NewView(1, []byte(b.String()))
 }
 
-// Requests is the cost of control for each request, and of owning endpoints.
+// Requests is the control overhead per request and per owned endpoint.
 type Requests struct {
-	Rate      float64 // requests a second on each host
-	PollBytes float64 // a second for each owned endpoint
-	Polls     float64 // a second for each owned endpoint
-	Idle      float64 // bytes a second to and from peers without requests
-	Processor float64 // of a core for each request a second, with relaying
+	Rate      float64 // requests per second on each host
+	PollBytes float64 // per second and owned endpoint
+	Polls     float64 // per second and owned endpoint
+	Idle      float64 // bytes per second to and from peers, without requests
+	Processor float64 // CPU seconds per request, including relaying of the answer
 }
 
-// MeasureRequests runs a deployment of today on loopback, idle and loaded,
-// and takes the differences. Stand-ins and callers share the processor, so
-// Processor is an upper bound.
+// MeasureRequests runs a deployment of typical size on loopback, first idle and
+// then loaded, and computes the differences. Stand-ins and callers run in the same
+// process, so Processor is an upper bound.
 func MeasureRequests(span time.Duration) (Requests, error) {
 	c, err := trial.Start(trial.Options{Document: examples.Domaskra, Hosts: load.DefaultHosts})
 	if err != nil {
@@ -158,49 +158,49 @@
 	n := float64(len(c.Nodes))
 	owned := float64(len(c.Doc.Endpoints))
 	time.Sleep(time.Second)
-	idle := observe(c, func() { time.Sleep(span) })
+	idle := measureUsage(c, func() { time.Sleep(span) })
 	mix := load.Mixes["domaskra"]
 	const rate = 20.0
-	as := mix.Arrivals(5, rate, span, 0)
+	arrivals := mix.Arrivals(5, rate, span, 0)
 	s := load.Sender{Addresses: c.Callers(), Model: mix.Model}
-	busy := observe(c, func() { s.Send(context.Background(), as) })
+	busy := measureUsage(c, func() { s.Send(context.Background(), arrivals) })
 	if busy.requests == 0 {
 		return Requests{}, errors.New("no request was served")
 	}
 	return Requests{
 		Rate:      busy.requests / busy.seconds / n,
-		Idle:      idle.peers / idle.seconds / n,
-		PollBytes: idle.polls / idle.seconds / owned,
-		Polls:     idle.pollCalls / idle.seconds / owned,
-		Processor: (busy.processor - idle.processor/idle.seconds*busy.seconds) / busy.requests,
+		Idle:      idle.peerBytes / idle.seconds / n,
+		PollBytes: idle.pollBytes / idle.seconds / owned,
+		Polls:     idle.pollCount / idle.seconds / owned,
+		Processor: (busy.cpuSeconds - idle.cpuSeconds/idle.seconds*busy.seconds) / busy.requests,
 	}, nil
 }
 
-// observed is what all hosts of a cluster used during a span.
-type observed struct {
-	seconds, peers, polls, pollCalls, processor, requests float64
+// usage is what all hosts of a cluster together used in an interval.
+type usage struct {
+	seconds, peerBytes, pollBytes, pollCount, cpuSeconds, requests float64
 }
 
-func observe(c *trial.Cluster, f func()) observed {
-	read := func() (o observed) {
+func measureUsage(c *trial.Cluster, f func()) usage {
+	sample := func() (o usage) {
 		for _, n := range c.Nodes {
-			o.peers += float64(n.Router.Traffic.OnWire())
-			o.polls += float64(n.Client.Control.OnWire())
-			o.pollCalls += float64(n.Owner.Polls.Load())
+			o.peerBytes += float64(n.Router.Traffic.OnWire())
+			o.pollBytes += float64(n.Client.Control.OnWire())
+			o.pollCount += float64(n.Owner.Polls.Load())
 			o.requests += float64(n.Record.Sum().Requests)
 		}
-		o.processor = processor().Seconds()
+		o.cpuSeconds = cpuTime().Seconds()
 		return o
 	}
-	start, a := time.Now(), read()
+	start, a := time.Now(), sample()
 	f()
-	b := read()
-	return observed{seconds: time.Since(start).Seconds(), peers: b.peers - a.peers, polls: b.polls - a.polls,
-		pollCalls: b.pollCalls - a.pollCalls, processor: b.processor - a.processor, requests: b.requests - a.requests}
+	b := sample()
+	return usage{seconds: time.Since(start).Seconds(), peerBytes: b.peerBytes - a.peerBytes, pollBytes: b.pollBytes - a.pollBytes,
+		pollCount: b.pollCount - a.pollCount, cpuSeconds: b.cpuSeconds - a.cpuSeconds, requests: b.requests - a.requests}
 }
 
-// processor returns the processor time that this process has used.
-func processor() time.Duration {
+// cpuTime returns the CPU time that this process has used.
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
 		return 0
@@ -208,8 +208,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// heap returns the bytes in use on the heap.
-func heap() uint64 {
+// heapBytes returns the bytes in use on the heap.
+func heapBytes() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
