--- a/tool/evacuations.go
+++ b/tool/evacuations.go
@@ -9,44 +9,44 @@
 	"github.com/embercove/embercove/node"
 )
 
-// evacuation is what the asked hosts know, together, of a failure domain that is emptied.
+// evacuation sums up what the queried hosts know of the evacuation of a failure domain.
 type evacuation struct {
-	revision config.Position
-	hosts    int     // that have it in force
-	since    float64 // s, for which the first has
-	last     float64 // s, for which the last has
-	peers    int     // of the hosts, those that a peer told
-	running  int     // calls there that the hosts wait for
+	revision         config.Position
+	hosts            int     // hosts that apply it
+	longest          float64 // seconds for which the first host has applied it
+	shortest         float64 // seconds for which the last host has applied it
+	learnedFromPeers int     // hosts that learned of it from a peer
+	running          int     // calls of these hosts that still run there
 }
 
-// evacuations prints the failure domains that are being emptied. Which hosts don't know
-// of one, and what runs there still, says when it may be taken away.
-func (t *tool) evacuations(all map[string]node.Status) {
-	by := map[string]*evacuation{}
-	for _, s := range all {
+// printEvacuations prints the failure domains that are being evacuated. A domain can be taken down
+// once all hosts know of the evacuation and nothing runs there any more.
+func (t *tool) printEvacuations(statuses map[string]node.Status) {
+	byDomain := map[string]*evacuation{}
+	for _, s := range statuses {
 		for _, row := range s.Evacuated {
-			e := by[row.Domain]
+			e := byDomain[row.Domain]
 			if e == nil {
-				e = &evacuation{last: row.Since}
-				by[row.Domain] = e
+				e = &evacuation{shortest: row.Since}
+				byDomain[row.Domain] = e
 			}
 			e.hosts++
 			e.revision = max(e.revision, row.Revision)
-			e.since, e.last = max(e.since, row.Since), min(e.last, row.Since)
+			e.longest, e.shortest = max(e.longest, row.Since), min(e.shortest, row.Since)
 			e.running += row.Running
 			if strings.HasPrefix(row.From, "peer") {
-				e.peers++
+				e.learnedFromPeers++
 			}
 		}
 	}
-	if len(by) == 0 {
+	if len(byDomain) == 0 {
 		return
 	}
 	fmt.Fprintln(t.out)
-	t.table("BEING EMPTIED\tREVISION\tKNOWN BY\tTOLD BY PEERS\tFIRST KNOWN FOR\tLAST KNOWN FOR\tRUNNING", func(w io.Writer) {
-		for _, domain := range keys(by) {
-			e := by[domain]
-			fmt.Fprintf(w, "%s\t%s\t%d of %d\t%d\t%s\t%s\t%d\n", domain, e.revision, e.hosts, len(all), e.peers, age(e.since), age(e.last), e.running)
+	t.printTable("BEING EMPTIED\tREVISION\tKNOWN BY\tTOLD BY PEERS\tFIRST KNOWN FOR\tLAST KNOWN FOR\tRUNNING", func(w io.Writer) {
+		for _, domain := range sortedKeys(byDomain) {
+			e := byDomain[domain]
+			fmt.Fprintf(w, "%s\t%s\t%d of %d\t%d\t%s\t%s\t%d\n", domain, e.revision, e.hosts, len(statuses), e.learnedFromPeers, formatAge(e.longest), formatAge(e.shortest), e.running)
 		}
 	})
 }
--- a/tool/slopes.go
+++ b/tool/slopes.go
@@ -8,9 +8,9 @@
 	"github.com/embercove/embercove/slope"
 )
 
-func millis(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
+func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// slopes measures and prints what control costs.
+// slopes measures and prints the control overhead.
 func (t *tool) slopes(fs *flag.FlagSet, args []string) error {
 	span := fs.Duration("span", 10*time.Second, "how long the deployment is watched, idle and loaded each")
 	if err := parse(fs, args, false); err != nil {
@@ -18,26 +18,26 @@
 	}
 	fmt.Fprintf(t.out, "| hosts in the domain | endpoints in the region | bytes an exchange | processor an exchange | heap of the tables |\n| --- | --- | --- | --- | --- |\n")
 	for _, size := range [][2]int{{3, 13}, {8, 13}, {88, 13}, {8, 193}, {88, 193}, {88, 385}} {
-		e, err := slope.MeasureExchange(size[0], size[1])
+		exchange, err := slope.MeasureExchange(size[0], size[1])
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(t.out, "| %d | %d | %.0f | %s | %.2f MB |\n", e.Hosts, e.Endpoints, e.Bytes, e.Processor.Round(time.Microsecond), e.Heap/1e6)
+		fmt.Fprintf(t.out, "| %d | %d | %.0f | %s | %.2f MB |\n", exchange.Hosts, exchange.Endpoints, exchange.Bytes, exchange.Processor.Round(time.Microsecond), exchange.Heap/1e6)
 	}
 	const pairs = 200
-	l, err := slope.MeasureLatency(pairs)
+	latency, err := slope.MeasureLatency(pairs)
 	if err != nil {
 		return err
 	}
 	fmt.Fprintf(t.out, "\ntime to first token, %d pairs: %.2f ms directly, %.2f ms by an entry host; added %.2f ms at the median, %.2f ms at 95 in 100\n",
-		l.Pairs, millis(l.Direct), millis(l.Routed), millis(l.Added), millis(l.Added95))
-	r, err := slope.MeasureRequests(*span)
+		latency.Pairs, milliseconds(latency.Direct), milliseconds(latency.Routed), milliseconds(latency.Added), milliseconds(latency.Added95))
+	requests, err := slope.MeasureRequests(*span)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(t.out, "\nwith %.2f requests a second on each host:\n", r.Rate)
-	fmt.Fprintf(t.out, "  to and from peers     %.0f B/s idle; for each request see TestFleet\n", r.Idle)
-	fmt.Fprintf(t.out, "  to and from endpoints %.0f B/s and %.1f calls/s for each owned endpoint\n", r.PollBytes, r.Polls)
-	fmt.Fprintf(t.out, "  processor            %.2f ms for each request, with relaying, stand-ins and callers\n", 1000*r.Processor)
+	fmt.Fprintf(t.out, "\nwith %.2f requests a second on each host:\n", requests.Rate)
+	fmt.Fprintf(t.out, "  to and from peers     %.0f B/s idle; for each request see TestFleet\n", requests.Idle)
+	fmt.Fprintf(t.out, "  to and from endpoints %.0f B/s and %.1f calls/s for each owned endpoint\n", requests.PollBytes, requests.Polls)
+	fmt.Fprintf(t.out, "  processor            %.2f ms for each request, with relaying, stand-ins and callers\n", 1000*requests.Processor)
 	return nil
 }
--- a/tool/suspects.go
+++ b/tool/suspects.go
@@ -14,8 +14,8 @@
 	"github.com/embercove/embercove/request"
 )
 
-// suspects lists requests under which endpoints ended, or clears one at the first host that
-// answers, which tells all others.
+// suspects lists the requests during which endpoints crashed, or clears one of them at the first
+// host that answers. That host informs all others.
 func (t *tool) suspects(fs *flag.FlagSet, args []string) error {
 	admin, asJSON := adminFlag(fs)
 	clear := fs.String("clear", "", "fingerprint of a request to clear")
@@ -25,15 +25,15 @@
 	if *clear != "" {
 		return t.clearSuspect(*admin, *clear)
 	}
-	all, err := askAll[[]node.SuspectRow](t, *admin, node.PathSuspects)
+	all, err := fetchAll[[]node.SuspectRow](t, *admin, node.PathSuspects)
 	if err != nil {
 		return err
 	}
 	if *asJSON {
-		return t.json(all)
+		return t.printJSON(all)
 	}
-	t.table("ADMIN\tFINGERPRINT\tSTAGE\tTEAM\tVERDICT\tREST\tENDS\tLAST ENDPOINT\tSEEN BY\tAGE", func(w io.Writer) {
-		for _, a := range keys(all) {
+	t.printTable("ADMIN\tFINGERPRINT\tSTAGE\tTEAM\tVERDICT\tREST\tENDS\tLAST ENDPOINT\tSEEN BY\tAGE", func(w io.Writer) {
+		for _, a := range sortedKeys(all) {
 			for _, r := range all[a] {
 				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%.0fs\t%d\t%s\t%s\t%.0fs\n", a, r.Request, r.Stage, r.Team, r.Verdict, r.Rest, r.Ends, r.Endpoint, r.SeenBy, r.Age)
 			}
@@ -42,12 +42,12 @@
 	return nil
 }
 
-// clearSuspect clears a request.
+// clearSuspect clears a request at the first host that answers.
 func (t *tool) clearSuspect(admin, fingerprint string) error {
 	if _, err := request.ParseFingerprint(fingerprint); err != nil {
-		return errUsage("-clear: " + err.Error())
+		return usageError("-clear: " + err.Error())
 	}
-	addrs, err := hosts(admin)
+	addrs, err := splitHosts(admin)
 	if err != nil {
 		return err
 	}
@@ -58,19 +58,19 @@
 		}
 		fmt.Fprintf(t.err, "%s: %v\n", a, err)
 	}
-	return errReach
+	return errNoReply
 }
 
-// postClear asks one host to clear a request.
+// postClear sends the call that clears a request to one host.
 func postClear(addr, fingerprint string) error {
-	hc := &http.Client{Timeout: askTimeout}
+	hc := &http.Client{Timeout: adminTimeout}
 	defer hc.CloseIdleConnections()
 	res, err := hc.PostForm("http://"+addr+node.PathSuspects+"?fingerprint="+url.QueryEscape(fingerprint), nil)
 	if err != nil {
 		return err
 	}
 	defer res.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(res.Body, maxReply))
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxReplyBytes))
 	if err == nil && res.StatusCode != http.StatusOK {
 		err = errors.New(strings.TrimSpace(string(body)))
 	}
--- a/tool/suspects_test.go
+++ b/tool/suspects_test.go
@@ -11,8 +11,8 @@
 	"github.com/embercove/embercove/request"
 )
 
-// TestSuspects lists and clears requests at a host's admin interface, and states what is said
-// of wrong input.
+// TestSuspects lists and clears requests at a stand-in for a host's admin interface, and checks the
+// output and exit codes, also for a refused clear and wrong usage.
 func TestSuspects(t *testing.T) {
 	f := request.FingerprintOf("t", "h", "POST", "/x", nil).String()
 	var cleared string
@@ -37,7 +37,7 @@
 	}{
 		{[]string{"suspects", "-admin", admin}, ExitOK, "blamed"},
 		{[]string{"suspects", "-admin", admin, "-clear", f}, ExitOK, "cleared at"},
-		{[]string{"suspects", "-admin", admin, "-clear", f}, ExitNoReach, "nothing speaks against it"},
+		{[]string{"suspects", "-admin", admin, "-clear", f}, ExitNoHost, "nothing speaks against it"},
 		{[]string{"suspects", "-admin", admin, "-clear", "zz"}, ExitUsage, `-clear: fingerprint "zz": want 32 hex digits`},
 		{[]string{"suspects"}, ExitUsage, "-admin must name"},
 	}
--- a/tool/tool.go
+++ b/tool/tool.go
@@ -1,7 +1,7 @@
-// Package tool is the operators' command line: checking documents, looking at
-// running hosts, and running the demo and the measurements on stand-ins.
+// Package tool implements the operators' command line: it checks documents,
+// inspects running hosts, and runs the demo and the measurements on stand-ins.
 //
-// It reads hosts' admin interfaces only; it changes nothing.
+// Commands only read the hosts' admin interfaces, except suspects -clear.
 package tool
 
 import (
@@ -17,10 +17,10 @@
 
 // Exit codes of the tool.
 const (
-	ExitOK      = 0
-	ExitFailed  = 1 // the answer is no: a document is invalid, a promise was broken
-	ExitUsage   = 2
-	ExitNoReach = 3 // no host answered
+	ExitOK     = 0
+	ExitFailed = 1 // the command failed, or its answer is no: an invalid document, an unknown request, wrong answers
+	ExitUsage  = 2
+	ExitNoHost = 3 // no host answered
 )
 
 // Version is the release.
@@ -32,21 +32,21 @@
 	run                       func(t *tool, fs *flag.FlagSet, args []string) error
 }
 
-// tool is one invocation.
+// tool is one invocation, with its standard output and error.
 type tool struct {
 	out, err io.Writer
 }
 
-// errNo ends a command with ExitFailed after it has said why.
-var errNo = errors.New("")
+// errFailed ends a command with ExitFailed. The command has already printed the reason.
+var errFailed = errors.New("")
 
-// errReach ends a command with ExitNoReach.
-var errReach = errors.New("no host answered")
+// errNoReply ends a command with ExitNoReach.
+var errNoReply = errors.New("no host answered")
 
-// errUsage ends a command with ExitUsage.
-type errUsage string
+// usageError ends a command with ExitUsage.
+type usageError string
 
-func (e errUsage) Error() string { return string(e) }
+func (e usageError) Error() string { return string(e) }
 
 func commands() []command {
 	return []command{
@@ -70,7 +70,7 @@
 func Main(args []string, out, errOut io.Writer) int {
 	t := &tool{out: out, err: errOut}
 	if len(args) == 0 || args[0] == "help" || args[0] == "-h" || args[0] == "--help" {
-		fmt.Fprint(out, help())
+		fmt.Fprint(out, usageText())
 		return ExitOK
 	}
 	for _, c := range commands() {
@@ -78,11 +78,11 @@
 			return t.runCommand(c, args[1:])
 		}
 	}
-	fmt.Fprintf(errOut, "embercove: unknown command %q\n%s", args[0], help())
+	fmt.Fprintf(errOut, "embercove: unknown command %q\n%s", args[0], usageText())
 	return ExitUsage
 }
 
-func help() string {
+func usageText() string {
 	var b strings.Builder
 	b.WriteString("usage: embercove COMMAND [flags]\n\n")
 	for _, c := range commands() {
@@ -101,7 +101,7 @@
 		fmt.Fprintf(fs.Output(), "\nExample:\n  %s\n", c.example)
 	}
 	err := c.run(t, fs, args)
-	var usage errUsage
+	var usage usageError
 	switch {
 	case err == nil:
 		return ExitOK
@@ -110,27 +110,26 @@
 	case errors.As(err, &usage):
 		fmt.Fprintf(t.err, "embercove %s: %s\n", c.name, usage)
 		return ExitUsage
-	case errors.Is(err, errReach):
+	case errors.Is(err, errNoReply):
 		fmt.Fprintf(t.err, "embercove %s: %v\n", c.name, err)
-		return ExitNoReach
-	case errors.Is(err, errNo):
+		return ExitNoHost
+	case errors.Is(err, errFailed):
 		return ExitFailed
 	}
 	fmt.Fprintf(t.err, "embercove %s: %v\n", c.name, err)
 	return ExitFailed
 }
 
-// parse parses the flags and refuses further arguments unless they are
-// wanted.
+// parse parses the flags. It rejects further arguments unless wantArgs is set.
 func parse(fs *flag.FlagSet, args []string, wantArgs bool) error {
 	if err := fs.Parse(args); err != nil {
 		if errors.Is(err, flag.ErrHelp) {
 			return err
 		}
-		return errUsage(err.Error())
+		return usageError(err.Error())
 	}
 	if !wantArgs && fs.NArg() > 0 {
-		return errUsage(fmt.Sprintf("unexpected argument %q", fs.Arg(0)))
+		return usageError(fmt.Sprintf("unexpected argument %q", fs.Arg(0)))
 	}
 	return nil
 }
--- a/tool/tool_test.go
+++ b/tool/tool_test.go
@@ -22,15 +22,15 @@
 	"github.com/embercove/embercove/trial"
 )
 
-// run runs the tool and returns its code and what it wrote.
+// run runs the tool and returns its exit code and output.
 func run(args ...string) (code int, out, errOut string) {
 	var o, e bytes.Buffer
 	code = Main(args, &o, &e)
 	return code, o.String(), e.String()
 }
 
-// TestScripts runs commands, one a line: arguments, exit code, and a part of
-// what each writes.
+// TestScripts checks the exit code and a part of the output of commands, mostly
+// ones that fail without a running host.
 func TestScripts(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "bad.hujson")
 	if err := os.WriteFile(bad, []byte("{\n\t\"modles\": [],\n}"), 0o600); err != nil {
@@ -51,9 +51,9 @@
 		{"check " + bad, ExitFailed, `2:2: modles: unknown field; did you mean "models"?`},
 		{"check /nowhere", ExitFailed, "no such file"},
 		{"status", ExitUsage, "-admin must name"},
-		{"status -admin 127.0.0.1:1", ExitNoReach, "no host answered"},
-		{"burn -admin 127.0.0.1:1", ExitNoReach, "no host answered"},
-		{"explain -admin 127.0.0.1:1", ExitNoReach, "no host answered"},
+		{"status -admin 127.0.0.1:1", ExitNoHost, "no host answered"},
+		{"burn -admin 127.0.0.1:1", ExitNoHost, "no host answered"},
+		{"explain -admin 127.0.0.1:1", ExitNoHost, "no host answered"},
 		{"status -adimn x", ExitUsage, "flag provided but not defined"},
 		{"demo -deployment oracle", ExitUsage, "want one of domaskra, paranacor"},
 		{"demo -factor 0", ExitUsage, "want more than 0"},
@@ -71,7 +71,7 @@
 	}
 }
 
-// TestHelp keeps the help texts.
+// TestHelp compares the help texts with golden files.
 func TestHelp(t *testing.T) {
 	g := goldie.New(t)
 	_, out, _ := run("help")
@@ -82,7 +82,8 @@
 	}
 }
 
-// TestReports keeps the shape of the reports, from fixed contents.
+// TestReports compares the reports, as text and as JSON, with golden files. They are made from
+// fixed data.
 func TestReports(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	rec := report.NewRecorder()
@@ -129,7 +130,7 @@
 	}
 }
 
-// TestOnHosts runs the commands on a deployment.
+// TestOnHosts runs the commands against a running deployment.
 func TestOnHosts(t *testing.T) {
 	c, err := trial.Start(trial.Options{Document: examples.Domaskra, Hosts: 3})
 	if err != nil {
--- a/tool/trace.go
+++ b/tool/trace.go
@@ -12,43 +12,43 @@
 	"github.com/embercove/embercove/trace"
 )
 
-// trace tells the story of a request from logs, or groups the failed ones.
+// trace prints the course of a request from logs, or groups the failed requests by cause.
 func (t *tool) trace(fs *flag.FlagSet, args []string) error {
 	failed := fs.Bool("failed", false, "group the failed requests by cause, instead of an ID")
 	asJSON := fs.Bool("json", false, "write JSON")
 	if err := fs.Parse(args); err != nil {
-		return errUsage(err.Error())
+		return usageError(err.Error())
 	}
-	rest := fs.Args()
+	paths := fs.Args()
 	id := ""
 	if !*failed {
-		if len(rest) == 0 {
-			return errUsage("want a request's ID, or -failed")
+		if len(paths) == 0 {
+			return usageError("want a request's ID, or -failed")
 		}
-		id, rest = rest[0], rest[1:]
+		id, paths = paths[0], paths[1:]
 	}
-	lines, err := readLogs(rest)
+	lines, err := readLogs(paths)
 	if err != nil {
 		return err
 	}
 	if *failed {
-		return t.groups(trace.Failed(lines), *asJSON)
+		return t.printGroups(trace.Failed(lines), *asJSON)
 	}
-	stories := trace.Of(lines, id)
-	if len(stories) == 0 {
-		fmt.Fprintf(t.err, "no line of request %s\n", id)
-		return errNo
+	found := trace.Of(lines, id)
+	if len(found) == 0 {
+		fmt.Fprintf(t.err, "no log line of request %s\n", id)
+		return errFailed
 	}
 	if *asJSON {
-		return json.NewEncoder(t.out).Encode(stories)
+		return json.NewEncoder(t.out).Encode(found)
 	}
-	for _, s := range stories {
+	for _, s := range found {
 		s.Text(t.out)
 	}
 	return nil
 }
 
-func (t *tool) groups(groups []trace.Group, asJSON bool) error {
+func (t *tool) printGroups(groups []trace.Group, asJSON bool) error {
 	if asJSON {
 		return json.NewEncoder(t.out).Encode(groups)
 	}
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// readLogs reads log files, or standard input if none is named.
+// readLogs reads log files, or standard input if there are none.
 func readLogs(paths []string) ([]trace.Line, error) {
 	if len(paths) == 0 {
 		return trace.Read(os.Stdin)
