--- a/internal/fake/proxy.go
+++ b/internal/fake/proxy.go
@@ -11,7 +11,7 @@
 // Mode says what a proxy does with the traffic through it.
 type Mode int32
 
-// Modes of a proxy.
+// ModeCount of a proxy.
 const (
 	Pass       Mode = iota
 	Delayed         // bytes are delayed by proxyDelay
@@ -19,12 +19,12 @@
 	SilentUp        // bytes from callers are dropped
 	SilentDown      // bytes to callers are dropped
 	Cut             // bytes are held back until the mode changes, as in a network partition
-	Modes           // number of modes
+	ModeCount       // number of modes
 )
 
 // String returns the mode's name.
 func (m Mode) String() string {
-	return [Modes]string{"pass", "delayed", "reset", "silent up", "silent down", "cut"}[m]
+	return [ModeCount]string{"pass", "delayed", "reset", "silent up", "silent down", "cut"}[m]
 }
 
 // proxyDelay is the delay of bytes in mode Delayed: several round trips between failure domains,
--- a/load/judge.go
+++ b/load/judge.go
@@ -25,7 +25,7 @@
 		case r.Code == result.OK && !r.Correct:
 			addViolation(r, "ended cleanly after %d tokens that are not the complete correct answer", r.Tokens)
 		case r.Code == 0 && !r.Left && !broken(r.Arrival):
-			addViolation(r, "no numbered answer after %s and %d tokens", r.Took, r.Tokens)
+			addViolation(r, "no numbered answer after %s and %d tokens", r.Duration, r.Tokens)
 		case r.NotRun && !r.Code.NotRun():
 			addViolation(r, "not_run with a code that doesn't guarantee it")
 		}
--- a/load/report.go
+++ b/load/report.go
@@ -40,12 +40,12 @@
 
 // Waste is the prefill work by the stand-ins' records, in tokens.
 type Waste struct {
-	Read      int     `json:"read_tokens"`
-	Leavers   int     `json:"wasted_for_leavers"` // the caller left; not all of it is avoidable
-	Others    int     `json:"wasted_for_others"`
-	Share     float64 `json:"wasted_share_others"`
-	ShareLeft float64 `json:"wasted_share_leavers"`
-	Attempts  float64 `json:"attempts_per_request"` // prefill runs per request that ran
+	Prefilled          int     `json:"read_tokens"`
+	Leavers            int     `json:"wasted_for_leavers"` // the caller left; not all of it is avoidable
+	Others             int     `json:"wasted_for_others"`
+	OtherShare         float64 `json:"wasted_share_others"`
+	LeaverShare        float64 `json:"wasted_share_leavers"`
+	AttemptsPerRequest float64 `json:"attempts_per_request"` // prefill runs per request that ran
 }
 
 // Sum returns the report of a run.
@@ -53,7 +53,7 @@
 	rep := Report{Name: name, Offered: len(results), Codes: map[string]int{}, Kinds: map[string]KindReport{}}
 	ttft, tpot := newHistogram(), newHistogram()
 	for _, r := range results {
-		good := r.Whole && r.Correct && r.TTFT <= targets.TTFT() && r.TPOT <= targets.TPOT()
+		good := r.CleanEnd && r.Correct && r.TTFT <= targets.TTFT() && r.TPOT <= targets.TPOT()
 		for _, key := range []string{r.Kind, "team " + r.Team} {
 			k := rep.Kinds[key]
 			k.Offered++
@@ -68,7 +68,7 @@
 		case r.Left:
 			rep.Left++
 		}
-		if r.Whole {
+		if r.CleanEnd {
 			rep.Answered++
 			_ = ttft.RecordValue(r.TTFT.Microseconds())
 			if r.TPOT > 0 {
@@ -127,7 +127,7 @@
 		if rec.Role != string(config.Prefill) {
 			continue
 		}
-		w.Read += rec.Tokens
+		w.Prefilled += rec.Tokens
 		if rec.Finished {
 			prefillRuns[rec.Prompt]++
 		}
@@ -143,9 +143,9 @@
 	for _, n := range prefillRuns {
 		runs += n
 	}
-	w.Share = float64(w.Others) / float64(max(1, w.Read))
-	w.ShareLeft = float64(w.Leavers) / float64(max(1, w.Read))
-	w.Attempts = float64(runs) / float64(max(1, len(prefillRuns)))
+	w.OtherShare = float64(w.Others) / float64(max(1, w.Prefilled))
+	w.LeaverShare = float64(w.Leavers) / float64(max(1, w.Prefilled))
+	w.AttemptsPerRequest = float64(runs) / float64(max(1, len(prefillRuns)))
 	return w
 }
 
@@ -157,7 +157,7 @@
 		r.Offered, r.Left, r.Answered, r.Good, 100*r.GoodShare, r.Goodput, r.Wrong)
 	fmt.Fprintf(&b, "  time to first token  p50 %7.1f ms  p95 %7.1f ms  p99 %7.1f ms\n", r.TTFT.P50, r.TTFT.P95, r.TTFT.P99)
 	fmt.Fprintf(&b, "  time per token       p50 %7.1f ms  p95 %7.1f ms  p99 %7.1f ms\n", r.TPOT.P50, r.TPOT.P95, r.TPOT.P99)
-	if r.Waste.Read > 0 { // only stand-ins of this process have records here
+	if r.Waste.Prefilled > 0 { // only stand-ins of this process have records here
 		r.wasteText(&b)
 	}
 	for _, k := range sortedKeys(r.Kinds) {
@@ -171,7 +171,7 @@
 
 func (r Report) wasteText(b *strings.Builder) {
 	fmt.Fprintf(b, "  prompt tokens read %d, wasted %.2f%% and for callers that left %.2f%%, prefills for each request run %.3f\n",
-		r.Waste.Read, 100*r.Waste.Share, 100*r.Waste.ShareLeft, r.Waste.Attempts)
+		r.Waste.Prefilled, 100*r.Waste.OtherShare, 100*r.Waste.LeaverShare, r.Waste.AttemptsPerRequest)
 }
 
 func sortedKeys[V any](m map[string]V) []string {
--- a/load/send.go
+++ b/load/send.go
@@ -21,18 +21,18 @@
 // Result is the outcome of one arrival as its caller saw it.
 type Result struct {
 	Arrival
-	Code    result.Code // 0: the connection broke without a result code
-	NotRun  bool        // the router reported that the request did not run
-	Left    bool        // the caller left before its answer was complete
-	Whole   bool        // the stream ended cleanly
-	Garbled bool        // a token was wrong, missing or duplicated, whatever followed
-	Correct bool        // the text is the complete correct answer
-	Tokens  int
-	TTFT    time.Duration
-	TPOT    time.Duration
-	Retry   time.Duration // delay before a retry, as the router reported it
-	Took    time.Duration
-	Ended   time.Time
+	Code       result.Code // 0: the connection broke without a result code
+	NotRun     bool        // the router reported that the request did not run
+	Left       bool        // the caller left before its answer was complete
+	CleanEnd   bool        // the stream ended cleanly
+	Garbled    bool        // a token was wrong, missing or duplicated, whatever followed
+	Correct    bool        // the text is the complete correct answer
+	Tokens     int
+	TTFT       time.Duration
+	TPOT       time.Duration
+	RetryAfter time.Duration // delay before a retry, as the router reported it
+	Duration   time.Duration
+	Ended      time.Time
 }
 
 // Sender sends arrivals to entry hosts.
@@ -95,8 +95,8 @@
 	start := time.Now()
 	s.call(ctx, hc, a, start, &res)
 	res.Ended = time.Now()
-	res.Took = res.Ended.Sub(start)
-	res.Left = a.Leaves > 0 && !res.Whole && res.Code == 0
+	res.Duration = res.Ended.Sub(start)
+	res.Left = a.Leaves > 0 && !res.CleanEnd && res.Code == 0
 	return res
 }
 
@@ -127,7 +127,7 @@
 		return
 	}
 	readStream(w.Body, start, res)
-	res.Correct = res.Whole && res.Tokens == fake.AnswerLength(a.Prompt, a.MaxTokens)
+	res.Correct = res.CleanEnd && res.Tokens == fake.AnswerLength(a.Prompt, a.MaxTokens)
 }
 
 func decodeProblem(r io.Reader, res *Result) {
@@ -136,7 +136,7 @@
 		return
 	}
 	res.Code, res.NotRun = result.Code(p.Error.Code), p.Error.NotRun
-	res.Retry = time.Duration(p.Error.RetryMillis) * time.Millisecond
+	res.RetryAfter = time.Duration(p.Error.RetryMillis) * time.Millisecond
 }
 
 // readStream reads an answer and checks each token against the expected one.
@@ -159,7 +159,7 @@
 			decodeProblem(strings.NewReader(data), res)
 			return
 		case data == "[DONE]":
-			res.Whole = correct
+			res.CleanEnd = correct
 			res.Code = result.OK
 			continue
 		}
--- a/load/table.go
+++ b/load/table.go
@@ -20,8 +20,8 @@
 	Modes       string // policies, separated by commas
 	Span        time.Duration
 	Seed        uint64
-	Beside      int               // number of concurrent runs
-	Told        func(line string) // receives a line of progress per run; may be nil
+	Parallel    int               // number of concurrent runs
+	Progress    func(line string) // receives a line of progress per run; may be nil
 }
 
 // Row is one run of a table.
@@ -50,7 +50,7 @@
 		}
 	}
 	var wg sync.WaitGroup
-	slots := make(chan struct{}, max(1, t.Beside))
+	slots := make(chan struct{}, max(1, t.Parallel))
 	errs := make([]error, len(rows))
 	for i := range rows {
 		wg.Add(1)
@@ -77,8 +77,8 @@
 		return errors.Wrapf(err, "%s %s", r.Deployment, r.Mode)
 	}
 	r.Report = report
-	if t.Told != nil {
-		t.Told(fmt.Sprintf("%s %s at %g: good %d of %d", r.Deployment, r.Mode, r.Factor, report.Good, report.Offered-report.Left))
+	if t.Progress != nil {
+		t.Progress(fmt.Sprintf("%s %s at %g: good %d of %d", r.Deployment, r.Mode, r.Factor, report.Good, report.Offered-report.Left))
 	}
 	return nil
 }
@@ -91,7 +91,7 @@
 	for _, r := range rows {
 		p := r.Report
 		fmt.Fprintf(&b, "| %s | %g | %s | %d | %d | %.1f%% | %.1f%% | %.2f%% | %.2f%% | %.0f/%.0f/%.0f | %.1f | %d |\n", r.Deployment, r.Factor, r.Mode,
-			p.Offered, p.Good, 100*p.GoodShare, 100*float64(p.Good)/float64(max(1, p.Bound)), 100*p.Waste.Share, 100*p.Waste.ShareLeft,
+			p.Offered, p.Good, 100*p.GoodShare, 100*float64(p.Good)/float64(max(1, p.Bound)), 100*p.Waste.OtherShare, 100*p.Waste.LeaverShare,
 			p.TTFT.P50, p.TTFT.P95, p.TTFT.P99, p.TPOT.P95, p.Wrong)
 	}
 	return b.String()
--- a/slope/latency.go
+++ b/slope/latency.go
@@ -19,7 +19,7 @@
 	Pairs          int
 	Direct, Routed time.Duration // medians
 	Added          time.Duration // median of the differences
-	Added95        time.Duration // 95th percentile of the differences
+	AddedP95       time.Duration // 95th percentile of the differences
 }
 
 // MeasureLatency sends pairs of short requests of equal length, one directly and one through an
@@ -52,7 +52,7 @@
 		sort.Slice(ds, func(i, j int) bool { return ds[i] < ds[j] })
 		return ds[int(q*float64(len(ds)-1))]
 	}
-	return Latency{Pairs: pairs, Direct: at(direct, 0.5), Routed: at(routed, 0.5), Added: at(added, 0.5), Added95: at(added, 0.95)}, nil
+	return Latency{Pairs: pairs, Direct: at(direct, 0.5), Routed: at(routed, 0.5), Added: at(added, 0.5), AddedP95: at(added, 0.95)}, nil
 }
 
 // measureDirect calls a prefill and then a decode stand-in and returns the time to
--- a/slope/slope.go
+++ b/slope/slope.go
@@ -31,7 +31,7 @@
 type Exchange struct {
 	Hosts, Endpoints int
 	Bytes            float64 // on the wire, both directions
-	Processor        time.Duration
+	CPUTime          time.Duration
 	Heap             float64 // bytes of one host's tables
 }
 
@@ -63,7 +63,7 @@
 		a.Once(ctx, b.addr)
 	}
 	out.Bytes = float64(a.Traffic.OnWire()-startBytes) / exchangeCount
-	out.Processor = (cpuTime() - startCPU) / exchangeCount / 2 // both hosts run in this process
+	out.CPUTime = (cpuTime() - startCPU) / exchangeCount / 2 // both hosts run in this process
 	runtime.KeepAlive(v)
 	return out, nil
 }
@@ -139,16 +139,16 @@
 
 // Requests is the control overhead per request and per owned endpoint.
 type Requests struct {
-	Rate      float64 // requests per second on each host
-	PollBytes float64 // per second and owned endpoint
-	Polls     float64 // per second and owned endpoint
-	Idle      float64 // bytes per second to and from peers, without requests
-	Processor float64 // CPU seconds per request, including relaying of the answer
+	Rate       float64 // requests per second on each host
+	PollBytes  float64 // per second and owned endpoint
+	Polls      float64 // per second and owned endpoint
+	Idle       float64 // bytes per second to and from peers, without requests
+	CPUSeconds float64 // CPU seconds per request, including relaying of the answer
 }
 
 // MeasureRequests runs a deployment of typical size on loopback, first idle and
 // then loaded, and computes the differences. Stand-ins and callers run in the same
-// process, so Processor is an upper bound.
+// process, so CPUSeconds is an upper bound.
 func MeasureRequests(span time.Duration) (Requests, error) {
 	c, err := trial.Start(trial.Options{Document: examples.Domaskra, Hosts: load.DefaultHosts})
 	if err != nil {
@@ -168,11 +168,11 @@
 		return Requests{}, errors.New("no request was served")
 	}
 	return Requests{
-		Rate:      busy.requests / busy.seconds / n,
-		Idle:      idle.peerBytes / idle.seconds / n,
-		PollBytes: idle.pollBytes / idle.seconds / owned,
-		Polls:     idle.pollCount / idle.seconds / owned,
-		Processor: (busy.cpuSeconds - idle.cpuSeconds/idle.seconds*busy.seconds) / busy.requests,
+		Rate:       busy.requests / busy.seconds / n,
+		Idle:       idle.peerBytes / idle.seconds / n,
+		PollBytes:  idle.pollBytes / idle.seconds / owned,
+		Polls:      idle.pollCount / idle.seconds / owned,
+		CPUSeconds: (busy.cpuSeconds - idle.cpuSeconds/idle.seconds*busy.seconds) / busy.requests,
 	}, nil
 }
 
--- a/tool/run.go
+++ b/tool/run.go
@@ -140,8 +140,8 @@
 		}
 		deployments = []string{*deployment}
 	}
-	rows, err := load.Table{Deployments: deployments, Loads: *loads, Modes: *modes, Span: *span, Seed: *seed, Beside: *parallel,
-		Told: func(line string) { fmt.Fprintln(t.err, line) }}.Do(context.Background())
+	rows, err := load.Table{Deployments: deployments, Loads: *loads, Modes: *modes, Span: *span, Seed: *seed, Parallel: *parallel,
+		Progress: func(line string) { fmt.Fprintln(t.err, line) }}.Do(context.Background())
 	if err != nil {
 		return usageError(err.Error())
 	}
--- a/tool/slopes.go
+++ b/tool/slopes.go
@@ -22,7 +22,7 @@
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(t.out, "| %d | %d | %.0f | %s | %.2f MB |\n", exchange.Hosts, exchange.Endpoints, exchange.Bytes, exchange.Processor.Round(time.Microsecond), exchange.Heap/1e6)
+		fmt.Fprintf(t.out, "| %d | %d | %.0f | %s | %.2f MB |\n", exchange.Hosts, exchange.Endpoints, exchange.Bytes, exchange.CPUTime.Round(time.Microsecond), exchange.Heap/1e6)
 	}
 	const pairs = 200
 	latency, err := slope.MeasureLatency(pairs)
@@ -30,7 +30,7 @@
 		return err
 	}
 	fmt.Fprintf(t.out, "\ntime to first token, %d pairs: %.2f ms directly, %.2f ms by an entry host; added %.2f ms at the median, %.2f ms at 95 in 100\n",
-		latency.Pairs, milliseconds(latency.Direct), milliseconds(latency.Routed), milliseconds(latency.Added), milliseconds(latency.Added95))
+		latency.Pairs, milliseconds(latency.Direct), milliseconds(latency.Routed), milliseconds(latency.Added), milliseconds(latency.AddedP95))
 	requests, err := slope.MeasureRequests(*span)
 	if err != nil {
 		return err
@@ -38,6 +38,6 @@
 	fmt.Fprintf(t.out, "\nwith %.2f requests a second on each host:\n", requests.Rate)
 	fmt.Fprintf(t.out, "  to and from peers     %.0f B/s idle; for each request see TestFleet\n", requests.Idle)
 	fmt.Fprintf(t.out, "  to and from endpoints %.0f B/s and %.1f calls/s for each owned endpoint\n", requests.PollBytes, requests.Polls)
-	fmt.Fprintf(t.out, "  processor            %.2f ms for each request, with relaying, stand-ins and callers\n", 1000*requests.Processor)
+	fmt.Fprintf(t.out, "  processor            %.2f ms for each request, with relaying, stand-ins and callers\n", 1000*requests.CPUSeconds)
 	return nil
 }
