--- a/internal/fake/holding.go
+++ b/internal/fake/holding.go
@@ -14,7 +14,7 @@
 	id           string
 	prompt       string
 	memoryTokens int
-	uncached     int
+	uncached     int // prefill: tokens not in the prefix cache
 	priority     int
 	admitted     time.Time
 	record       *Record
@@ -23,8 +23,8 @@
 	orphaned     atomic.Bool   // the caller disconnected and the engine ignored it
 	finished     chan struct{} // closed at the end of the prefill or of the decode call
 	indexes      chan int      // decode: indexes of the decoded tokens
-	next         int
-	length       int
+	next         int           // decode: index of the next token
+	length       int           // decode: tokens of the whole answer
 }
 
 func (a *attempt) abort() { a.once.Do(func() { close(a.aborted) }) }
