--- a/proof/cold_test.go
+++ b/proof/cold_test.go
@@ -18,46 +18,51 @@
 	"github.com/embercove/embercove/trial"
 )
 
-// The one cold endpoint that all hosts of a scene share, and what it may be sent.
+// The cold endpoint that all hosts of a test share, and the bounds on its load.
 const (
-	coldName  = "decode-5"
-	coldBears = 21
-	coldMost  = 36.5 // in any one second: 21 times 1.5, and 5
-	// coldAlike is in which time hosts agree again on who owns the endpoint after a change:
-	// a killed host is gone everywhere after 7 s (TestHundreds), and its votes are free
-	// 2.45 s later.
-	coldAlike = 12 * time.Second
+	coldName         = "decode-5"
+	coldRate         = 21   // requests per second that it accepts
+	coldMaxPerSecond = 36.5 // in any one second: coldRate * 1.5 (ColdOverrun) + 5 (ColdTolerance)
+	// convergenceTime is the time after a change until all hosts agree again on the endpoint's
+	// owner: a killed host counts as gone everywhere after 7 s (TestHundreds), and the votes
+	// granted to it are free 2.45 s later.
+	convergenceTime = 12 * time.Second
 )
 
-// coldScene is a fleet that shares one cold endpoint. Each failure domain has two parts on
-// the network.
-type coldScene struct {
-	*scene
+// sharedHarness is a fleet that shares one endpoint, which is cold or names a limit. Each
+// failure domain is split into a near and a far zone on the network.
+type sharedHarness struct {
+	*harness
 	hosts int
 	stop  chan struct{}
 	wait  sync.WaitGroup
 
-	limit float64 // requests a second that the endpoint names; 0: it is cold
+	limit float64 // requests per second that the endpoint names; 0: it is cold; -1: no limit any more
 
-	mu   sync.Mutex
-	used []time.Time
-	told []time.Time // when each host last heard of the limit for the first time; zero: it hasn't
+	mu        sync.Mutex
+	sentAt    []time.Time // requests that count against the bound
+	learnedAt []time.Time // each host's first answer since it was last restarted; zero: none yet
 }
 
-const farPart = " far"
+// farZone is the suffix that turns a failure domain's name into that of its far zone.
+const farZone = " far"
 
-func startCold(t *testing.T, hosts int) *coldScene { return startShared(t, hosts, 0) }
+func startColdFleet(t *testing.T, hosts int) *sharedHarness { return startSharedFleet(t, hosts, 0) }
 
-// startShared starts a fleet whose shared endpoint names a limit, or is cold.
-func startShared(t *testing.T, hosts int, limit float64) *coldScene {
+// startSharedFleet starts a fleet whose shared endpoint names a limit or, if limit is 0, is cold.
+func startSharedFleet(t *testing.T, hosts int, limit float64) *sharedHarness {
 	t.Helper()
-	s := &coldScene{limit: limit, told: make([]time.Time, hosts), scene: &scene{t: t, net: fake.NewNetwork(), gone: map[int]bool{}}, hosts: hosts, stop: make(chan struct{})}
+	s := &sharedHarness{
+		limit: limit, learnedAt: make([]time.Time, hosts),
+		harness: &harness{t: t, net: fake.NewNetwork(), stopped: map[int]bool{}},
+		hosts:   hosts, stop: make(chan struct{}),
+	}
 	c, err := trial.Start(trial.Options{Document: examples.Domaskra, Hosts: hosts, Network: s.net, Fatal: s.fail,
 		Change: func(d *config.Document) {
-			hundreds(d)
+			oneRegion(d)
 			for i := range d.Endpoints {
 				if d.Endpoints[i].Name == coldName {
-					d.Endpoints[i].ColdPerSecond = coldBears
+					d.Endpoints[i].ColdPerSecond = coldRate
 				}
 			}
 		},
@@ -67,7 +72,7 @@
 		Zone: func(s *config.Settings) string {
 			_, n, _ := strings.Cut(strings.TrimPrefix(s.Host, s.Domain), "-")
 			if k, _ := strconv.Atoi(n); k%2 == 0 {
-				return s.Domain + farPart
+				return s.Domain + farZone
 			}
 			return s.Domain
 		}})
@@ -75,21 +80,21 @@
 		t.Fatal(err)
 	}
 	s.Cluster = c
-	ask := s.ask
+	call := s.callCold
 	if limit > 0 {
-		ask = s.askLimited
+		call = s.callLimited
 	}
 	for i := range hosts {
-		s.wait.Go(func() { s.askOn(i, ask) })
+		s.wait.Go(func() { s.callRepeatedly(i, call) })
 	}
 	return s
 }
 
-// askWait is how long a host waits for a start.
-const askWait = 200 * time.Millisecond
+// permitWait is how long a host waits for a start permit.
+const permitWait = 200 * time.Millisecond
 
-// askOn has a host ask again and again until the scene is over.
-func (s *coldScene) askOn(i int, ask func(i int, r *peer.Router, spec *config.Endpoint)) {
+// callRepeatedly has host i make calls until the test stops the calls.
+func (s *sharedHarness) callRepeatedly(i int, call func(i int, r *peer.Router, spec *config.Endpoint)) {
 	const pause = 300 * time.Millisecond
 	for {
 		select {
@@ -101,69 +106,69 @@
 		n, down := s.Nodes[i], s.down[i]
 		s.mu.Unlock()
 		if v := n.Board.Config.View(); !down && v != nil {
-			ask(i, n.Router, v.Endpoint(coldName))
+			call(i, n.Router, v.Endpoint(coldName))
 		}
 	}
 }
 
-// ask has a host call the endpoint if it is given a start.
-func (s *coldScene) ask(i int, r *peer.Router, spec *config.Endpoint) {
-	start := r.Start(context.Background(), spec, peer.StartAsk{Wait: askWait})
-	if !start.Given {
+// callCold has host i call the endpoint if it gets a start permit.
+func (s *sharedHarness) callCold(i int, r *peer.Router, spec *config.Endpoint) {
+	permit := r.Start(context.Background(), spec, peer.StartAsk{Wait: permitWait})
+	if !permit.Given {
 		return
 	}
-	time.Sleep(start.In)
+	time.Sleep(permit.In)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if now := time.Now(); now.Before(start.Until) && !s.down[i] {
-		s.used = append(s.used, now)
+	if now := time.Now(); now.Before(permit.Until) && !s.down[i] {
+		s.sentAt = append(s.sentAt, now)
 	}
 }
 
-// end stops asking and checks all that was sent.
-func (s *coldScene) end(t *testing.T) {
+// finishCold stops the calls, checks that no second got too many of them and shuts the fleet down.
+func (s *sharedHarness) finishCold(t *testing.T) {
 	close(s.stop)
 	s.wait.Wait()
-	slices.SortFunc(s.used, time.Time.Compare)
-	most := 0
-	for first, last := 0, 0; last < len(s.used); last++ {
-		for s.used[last].Sub(s.used[first]) > time.Second {
+	slices.SortFunc(s.sentAt, time.Time.Compare)
+	maxSent := 0
+	for first, last := 0, 0; last < len(s.sentAt); last++ {
+		for s.sentAt[last].Sub(s.sentAt[first]) > time.Second {
 			first++
 		}
-		most = max(most, last-first+1)
+		maxSent = max(maxSent, last-first+1)
 	}
-	t.Logf("%d sent, %d in the fullest second", len(s.used), most)
-	if float64(most) > coldMost {
-		t.Errorf("%d requests in one second, %v allowed", most, coldMost)
+	t.Logf("%d sent, at most %d in one second", len(s.sentAt), maxSent)
+	if float64(maxSent) > coldMaxPerSecond {
+		t.Errorf("%d requests in one second, want at most %v", maxSent, coldMaxPerSecond)
 	}
-	for _, b := range s.broken {
+	for _, b := range s.violations {
 		t.Error(b)
 	}
-	s.scene.end()
+	s.harness.shutDown()
 }
 
-// pass lets some time go by and returns how many requests a second were sent.
-func (s *coldScene) pass(d time.Duration) float64 {
+// runFor lets the fleet run for d and returns how many requests per second were sent.
+func (s *sharedHarness) runFor(d time.Duration) float64 {
 	s.mu.Lock()
-	before := len(s.used)
+	before := len(s.sentAt)
 	s.mu.Unlock()
 	time.Sleep(d)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return float64(len(s.used)-before) / d.Seconds()
+	return float64(len(s.sentAt)-before) / d.Seconds()
 }
 
-// cutInTwo parts the near from the far parts of all failure domains, or heals that.
-func (s *coldScene) cutInTwo(on bool) {
+// partition cuts all near zones off from all far zones, or heals the cut.
+func (s *sharedHarness) partition(on bool) {
 	for _, a := range s.Doc.Domains {
 		for _, b := range s.Doc.Domains {
-			s.net.Cut(a.Name, b.Name+farPart, on)
+			s.net.Cut(a.Name, b.Name+farZone, on)
 		}
 	}
 }
 
-// owner returns the host that gives out the endpoint's starts.
-func (s *coldScene) owner() int {
+// ownerHost returns the index of the host that owns the endpoint and issues its start permits.
+func (s *sharedHarness) ownerHost() int {
 	for i, n := range s.Nodes {
 		v := n.Board.Config.View()
 		if v == nil || s.down[i] {
@@ -175,7 +180,7 @@
 	return -1
 }
 
-func (s *coldScene) killHost(i int) {
+func (s *sharedHarness) killHost(i int) {
 	s.mu.Lock()
 	if s.down == nil {
 		s.down = map[int]bool{}
@@ -185,116 +190,121 @@
 	s.kill(i)
 }
 
-func (s *coldScene) restart(i int) {
+func (s *sharedHarness) restart(i int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.Restart(i); err != nil {
 		s.t.Error(err)
 	}
 	s.down[i] = false
-	s.told[i] = time.Time{}
+	s.learnedAt[i] = time.Time{}
 }
 
-// TestCold has several hundred hosts share one cold endpoint and cuts them in two, part
-// of its own failure domain as well, so that both parts have an owner.
+// TestCold has several hundred hosts share one cold endpoint, first connected, then partitioned.
+// The partition runs through the endpoint's own failure domain too, so both sides have an owner
+// that issues start permits. Together the sides must neither overrun the endpoint's rate nor
+// leave most of it unused.
 func TestCold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := startCold(t, hundredsHosts)
-		s.pass(coldAlike)
-		bytes, _, calls := s.control()
-		whole := s.pass(8 * time.Second)
-		if whole < 0.97*coldBears {
-			t.Errorf("%.1f requests a second were sent, %d are borne", whole, coldBears)
+		s := startColdFleet(t, oneRegionHosts)
+		s.runFor(convergenceTime)
+		bytes, _, calls := s.controlTraffic()
+		connected := s.runFor(8 * time.Second)
+		if connected < 0.97*coldRate {
+			t.Errorf("%.1f requests/s were sent, the endpoint accepts %d", connected, coldRate)
 		}
-		bytes2, _, calls2 := s.control()
-		t.Logf("%.1f requests a second; %.0f B/s and %.2f calls/s with peers on each host", whole, float64(bytes2-bytes)/8/hundredsHosts, float64(calls2-calls)/8/hundredsHosts)
-		s.cutInTwo(true)
-		s.pass(coldAlike)
-		if parted := s.pass(5 * time.Second); parted < 0.8*coldBears {
-			t.Errorf("%.1f requests a second were sent from two parts, %d are borne", parted, coldBears)
+		bytes2, _, calls2 := s.controlTraffic()
+		t.Logf("%.1f requests/s; %.0f B/s and %.2f calls/s with peers on each host", connected,
+			float64(bytes2-bytes)/8/oneRegionHosts, float64(calls2-calls)/8/oneRegionHosts)
+		s.partition(true)
+		s.runFor(convergenceTime)
+		if partitioned := s.runFor(5 * time.Second); partitioned < 0.8*coldRate {
+			t.Errorf("%.1f requests/s were sent by both sides together, the endpoint accepts %d", partitioned, coldRate)
 		}
-		s.cutInTwo(false)
-		s.pass(coldAlike)
-		if again := s.pass(5 * time.Second); again < 0.97*coldBears {
-			t.Errorf("%.1f requests a second were sent after the cut, %d are borne", again, coldBears)
+		s.partition(false)
+		s.runFor(convergenceTime)
+		if healed := s.runFor(5 * time.Second); healed < 0.97*coldRate {
+			t.Errorf("%.1f requests/s were sent after the partition, the endpoint accepts %d", healed, coldRate)
 		}
-		s.end(t)
+		s.finishCold(t)
 	})
 }
 
-// sharedFaults are what befalls a fleet that shares an endpoint, one at a time.
+// sharedFaults returns faults for a fleet that shares an endpoint, to be injected one at a time.
 func sharedFaults() []sharedFault {
 	return []sharedFault{
-		{"its owner is killed", func(s *coldScene) { s.killHost(s.owner()) }},
-		{"its owner is killed and restarted", func(s *coldScene) {
-			i := s.owner()
+		{"its owner is killed", func(s *sharedHarness) { s.killHost(s.ownerHost()) }},
+		{"its owner is killed and restarted", func(s *sharedHarness) {
+			i := s.ownerHost()
 			s.killHost(i)
-			s.pass(2 * time.Second)
+			s.runFor(2 * time.Second)
 			s.restart(i)
 		}},
-		{"its owner is passed over by all others", func(s *coldScene) {
-			number := s.Nodes[s.owner()].Board.Number
+		{"its owner is passed over by all others", func(s *sharedHarness) {
+			number := s.Nodes[s.ownerHost()].Board.Number
 			for _, n := range s.Nodes {
 				n.Board.Hosts.Doubt(number)
 			}
 		}},
-		{"its owner wakes from a pause", func(s *coldScene) { s.Nodes[s.owner()].Owner.Starts.Wake(time.Now()) }},
-		{"all hosts are killed and restarted", func(s *coldScene) {
+		{"its owner wakes from a pause", func(s *sharedHarness) { s.Nodes[s.ownerHost()].Owner.Starts.Wake(time.Now()) }},
+		{"all hosts are killed and restarted", func(s *sharedHarness) {
 			for i := range s.Nodes {
 				s.killHost(i)
 			}
-			s.pass(time.Second)
+			s.runFor(time.Second)
 			for i := range s.Nodes {
 				s.restart(i)
 			}
 		}},
-		{"its failure domain is cut off", func(s *coldScene) {
+		{"its failure domain is cut off", func(s *sharedHarness) {
 			cut := func(on bool) {
 				for _, d := range s.Doc.Domains[1:] {
-					for _, a := range []string{s.Doc.Domains[0].Name, s.Doc.Domains[0].Name + farPart} {
+					for _, a := range []string{s.Doc.Domains[0].Name, s.Doc.Domains[0].Name + farZone} {
 						s.net.Cut(a, d.Name, on)
-						s.net.Cut(a, d.Name+farPart, on)
+						s.net.Cut(a, d.Name+farZone, on)
 					}
 				}
 			}
 			cut(true)
-			s.pass(6 * time.Second)
+			s.runFor(6 * time.Second)
 			cut(false)
 		}},
-		{"all are cut in two for a moment, twice", func(s *coldScene) {
+		{"all are cut in two for a moment, twice", func(s *sharedHarness) {
 			for range 2 {
-				s.cutInTwo(true)
-				s.pass(3 * time.Second)
-				s.cutInTwo(false)
-				s.pass(2 * time.Second)
+				s.partition(true)
+				s.runFor(3 * time.Second)
+				s.partition(false)
+				s.runFor(2 * time.Second)
 			}
 		}},
 	}
 }
 
-// sharedFault is something that befalls a fleet.
+// sharedFault is a fault to inject into a fleet that shares an endpoint.
 type sharedFault struct {
 	name   string
-	strike func(s *coldScene)
+	inject func(s *sharedHarness)
 }
 
-// TestColdFaults has one thing fail at a time while hosts share a cold endpoint.
+// TestColdFaults injects one fault at a time while hosts share a cold endpoint. Owners that change,
+// restart or are isolated must not issue more start permits than the endpoint accepts; once the
+// fault is over, they must issue nearly that many again.
 func TestColdFaults(t *testing.T) {
 	const hosts = 60
 	for _, tc := range sharedFaults() {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := startCold(t, hosts)
-				s.pass(coldAlike)
-				if s.Doc.Domains[0].Name != s.Settings[s.owner()].Domain {
+				s := startColdFleet(t, hosts)
+				s.runFor(convergenceTime)
+				if s.Doc.Domains[0].Name != s.Settings[s.ownerHost()].Domain {
 					t.Fatal("the endpoint is in another failure domain")
 				}
-				tc.strike(s)
-				s.pass(coldAlike)
-				if after := s.pass(5 * time.Second); after < 0.9*coldBears {
-					t.Errorf("%.1f requests a second were sent once it was over, %d are borne", after, coldBears)
+				tc.inject(s)
+				s.runFor(convergenceTime)
+				if after := s.runFor(5 * time.Second); after < 0.9*coldRate {
+					t.Errorf("%.1f requests/s were sent after the fault, the endpoint accepts %d", after, coldRate)
 				}
-				s.end(t)
+				s.finishCold(t)
 			})
 		})
 	}
--- a/proof/config_test.go
+++ b/proof/config_test.go
@@ -10,17 +10,17 @@
 	"github.com/embercove/embercove/internal/fake"
 )
 
-// inForce is the time within which a revision has to be in force everywhere.
-const inForce = 5 * time.Second
+// inForceBound is the time within which a revision must be in force on every host.
+const inForceBound = 5 * time.Second
 
-// everywhere fails the scene unless every host but those left out has the
-// revision in force in time.
-func (s *scene) everywhere(rev uint64, without ...int) {
-	deadline := time.Now().Add(inForce)
+// expectInForce reports a violation unless the revision is in force on every host,
+// apart from the exceptions, within inForceBound.
+func (s *harness) expectInForce(rev uint64, except ...int) {
+	deadline := time.Now().Add(inForceBound)
 	for {
 		behind := ""
 		for i, n := range s.Nodes {
-			if got := n.Board.Config.Revision(); got != rev && !slices.Contains(without, i) {
+			if got := n.Board.Config.Revision(); got != rev && !slices.Contains(except, i) {
 				behind += fmt.Sprintf(" host %d has %d", i, got)
 			}
 		}
@@ -35,7 +35,7 @@
 	}
 }
 
-func (s *scene) publish(f func(d *config.Document)) uint64 {
+func (s *harness) publish(f func(d *config.Document)) uint64 {
 	rev, err := s.Publish(f)
 	if err != nil {
 		s.fail(err.Error())
@@ -43,93 +43,94 @@
 	return rev
 }
 
-func weigh(w int) func(d *config.Document) {
+func setWeight(w int) func(d *config.Document) {
 	return func(d *config.Document) { d.Teams[0].Weight = w }
 }
 
-// TestRevisions publishes under failures: an accepted revision is in force
-// everywhere within seconds and never falls. That it never falls is an
-// invariant of the program and fatal here.
+// TestRevisions publishes configurations under faults: every host has to apply an
+// accepted revision within seconds and must never go back to an earlier one. The
+// latter is an invariant that the program checks itself; here a violation fails the
+// test.
 func TestRevisions(t *testing.T) {
 	cases := []struct {
 		name string
-		f    func(s *scene)
+		run  func(s *harness)
 	}{
-		{"one after the other", func(s *scene) {
+		{"one after the other", func(s *harness) {
 			for w := range 10 {
-				s.publish(weigh(w + 1))
+				s.publish(setWeight(w + 1))
 			}
-			s.everywhere(11)
+			s.expectInForce(11)
 		}},
-		{"two operators at once", func(s *scene) {
+		{"two operators at once", func(s *harness) {
 			done := make(chan uint64, 2)
 			for w := range 2 {
-				go func() { done <- s.Platform.Publish(mustJSON(s, weigh(50+w))) }()
+				go func() { done <- s.Platform.Publish(documentJSON(s, setWeight(50+w))) }()
 			}
-			s.everywhere(max(<-done, <-done))
+			s.expectInForce(max(<-done, <-done))
 		}},
-		{"an invalid revision stays out, the next is taken", func(s *scene) {
+		{"an invalid revision stays out, the next is taken", func(s *harness) {
 			s.Platform.Publish([]byte(`{"endpoints": 3}`))
 			time.Sleep(time.Second)
-			s.everywhere(1)
-			rev := s.publish(weigh(7))
-			s.everywhere(rev)
+			s.expectInForce(1)
+			rev := s.publish(setWeight(7))
+			s.expectInForce(rev)
 		}},
-		{"a stale replica answers", func(s *scene) {
-			s.everywhere(s.publish(weigh(3)))
+		{"a stale replica answers", func(s *harness) {
+			s.expectInForce(s.publish(setWeight(3)))
 			s.Platform.SetStale(1)
 			time.Sleep(3 * time.Second)
-			s.everywhere(2)
+			s.expectInForce(2)
 			s.Platform.SetStale(0)
-			s.everywhere(s.publish(weigh(4)))
+			s.expectInForce(s.publish(setWeight(4)))
 		}},
-		{"platform reached by one domain only", func(s *scene) {
+		{"platform reached by one domain only", func(s *harness) {
 			s.net.Cut("is-b", "platform", true)
 			s.net.Cut("is-c", "platform", true)
-			s.everywhere(s.publish(weigh(5)))
+			s.expectInForce(s.publish(setWeight(5)))
 		}},
-		{"a host restarted while the platform is down", func(s *scene) {
-			rev := s.publish(weigh(6))
-			s.everywhere(rev)
+		{"a host restarted while the platform is down", func(s *harness) {
+			rev := s.publish(setWeight(6))
+			s.expectInForce(rev)
 			s.Platform.SetDown(true)
 			s.kill(3)
 			time.Sleep(500 * time.Millisecond)
 			if err := s.Restart(3); err != nil {
 				s.fail(err.Error())
 			}
-			s.everywhere(rev)
+			s.expectInForce(rev)
 		}},
-		{"a host restarted while the platform is stale", func(s *scene) {
-			rev := s.publish(weigh(8))
-			s.everywhere(rev)
+		{"a host restarted while the platform is stale", func(s *harness) {
+			rev := s.publish(setWeight(8))
+			s.expectInForce(rev)
 			s.Platform.SetStale(1)
 			s.kill(3)
 			if err := s.Restart(3); err != nil {
 				s.fail(err.Error())
 			}
-			s.everywhere(rev)
+			s.expectInForce(rev)
 		}},
-		{"a domain cut off from all learns it after the cut", func(s *scene) {
+		{"a domain cut off from all learns it after the cut", func(s *harness) {
 			for _, z := range []string{"is-b", "is-c", "platform"} {
 				s.net.Cut("is-a", z, true)
 			}
-			rev := s.publish(weigh(9))
-			s.everywhere(rev, 0, 3)
+			rev := s.publish(setWeight(9))
+			s.expectInForce(rev, 0, 3)
 			for _, z := range []string{"is-b", "is-c", "platform"} {
 				s.net.Cut("is-a", z, false)
 			}
-			time.Sleep(2 * time.Second) // connections that hung are given up
-			s.everywhere(rev)
+			time.Sleep(2 * time.Second) // until connections that hung have timed out
+			s.expectInForce(rev)
 		}},
 	}
 	for i, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			play(t, options{seed: uint64(100 + i), rate: 8, span: 6 * time.Second}, tc.f).report(t)
+			runScenario(t, options{seed: uint64(100 + i), rate: 8, span: 6 * time.Second}, tc.run).report(t)
 		})
 	}
 }
 
-func mustJSON(s *scene, f func(d *config.Document)) []byte {
+func documentJSON(s *harness, f func(d *config.Document)) []byte {
 	src, err := s.JSON(f)
 	if err != nil {
 		s.fail(err.Error())
@@ -137,25 +138,25 @@
 	return src
 }
 
-// TestOrders publishes a new model version under load: every runner comes to
-// it, fenced or not, with orders lost on the way, and stays there when an
-// order of an old revision comes late.
+// TestOrders publishes a new model version under load. Every runner must reach it, whether
+// or not it checks fences and although its first order is lost, and must be brought back
+// to it when a late order of an old revision resets it.
 func TestOrders(t *testing.T) {
-	play(t, options{seed: 7, rate: 8, span: 8 * time.Second}, func(s *scene) {
-		s.faults(fake.Faults{DropOrders: 1})
-		s.everywhere(s.publish(func(d *config.Document) { d.Models[0].Version = "v5" }))
-		s.versions("v5")
+	runScenario(t, options{seed: 7, rate: 8, span: 8 * time.Second}, func(s *harness) {
+		s.setFaults(fake.Faults{DropOrders: 1})
+		s.expectInForce(s.publish(func(d *config.Document) { d.Models[0].Version = "v5" }))
+		s.expectVersions("v5")
 		late := s.Runners["docket-decode-2"] // checks no fences
 		late.SetFaults(fake.Faults{WrongState: "v4"})
 		time.Sleep(time.Second)
 		late.SetFaults(fake.Faults{})
-		s.versions("v5")
+		s.expectVersions("v5")
 	}).report(t)
 }
 
-// versions fails the scene unless every runner has the version in time.
-func (s *scene) versions(want string) {
-	deadline := time.Now().Add(inForce)
+// expectVersions reports a violation unless every runner has the version within inForceBound.
+func (s *harness) expectVersions(want string) {
+	deadline := time.Now().Add(inForceBound)
 	for name, r := range s.Runners {
 		for r.Version() != want {
 			if time.Now().After(deadline) {
--- a/proof/doc.go
+++ b/proof/doc.go
@@ -1,7 +1,8 @@
-// Package proof holds the tests of what must always hold, made under failure.
+// Package proof tests the system's guarantees under faults.
 //
-// Whole deployments run in virtual time on a network in memory, so that a
-// minute takes seconds and the verdict doesn't depend on the machine. The
-// judges are the stand-ins' own truth and the invariants inside the program.
-// Kills and freezes of real processes are in cmd/embercoved.
+// Each test runs a whole deployment in virtual time on an in-memory network, so
+// that a minute takes seconds and the result doesn't depend on the machine. The
+// checks compare answers with the fake endpoints' own records; broken invariants
+// inside the program fail a test too. Tests that kill or suspend real processes are
+// in cmd/embercoved.
 package proof
--- a/proof/faults_test.go
+++ b/proof/faults_test.go
@@ -7,50 +7,50 @@
 	"github.com/embercove/embercove/internal/fake"
 )
 
-// TestFaults strikes a loaded deployment with one kind of fault after the
-// other; every promise is judged after each.
+// TestFaults injects one kind of fault at a time into a deployment under load and checks
+// every promise to callers afterwards.
 func TestFaults(t *testing.T) {
 	pause := func(d time.Duration) { time.Sleep(d) }
-	some := func(f fake.Faults) func(*scene) {
-		return func(s *scene) {
+	repeatedly := func(f fake.Faults) func(*harness) {
+		return func(s *harness) {
 			for range 5 {
 				pause(time.Second)
-				s.faults(f)
+				s.setFaults(f)
 			}
 			pause(time.Second)
-			s.faults(fake.Faults{})
+			s.setFaults(fake.Faults{})
 		}
 	}
 	cases := []struct {
-		name string
-		f    func(s *scene)
+		name   string
+		inject func(s *harness)
 	}{
-		{"none", func(*scene) {}},
-		{"connections cut before the work", some(fake.Faults{CutBefore: 2})},
-		{"connections cut after the work", some(fake.Faults{CutAfter: 2})},
-		{"refused as not run", some(fake.Faults{RefuseShare: 0.3})},
-		{"refused without vouching", some(fake.Faults{RefuseUnvouch: 2})},
-		{"streams die after 3 tokens", some(fake.Faults{BreakStreams: 2, BreakAfter: 3})},
-		{"streams die, resumed ones begin anew", some(fake.Faults{BreakStreams: 2, BreakAfter: 3, IgnoreResume: true})},
-		{"streams end early but cleanly", some(fake.Faults{BreakStreams: 2, BreakAfter: 2, CleanBreak: true})},
-		{"answers crossed", some(fake.Faults{CrossAnswers: 3})},
-		{"answers late", some(fake.Faults{LateMillis: 400})},
-		{"transfers stall", some(fake.Faults{StallTransfers: 2})},
-		{"cancels lost", some(fake.Faults{LoseCancels: true})},
-		{"cancels lost and streams die", some(fake.Faults{LoseCancels: true, BreakStreams: 2, BreakAfter: 1})},
-		{"engines slow", some(fake.Faults{Slow: 4})},
-		{"reports lag by 2 s", some(fake.Faults{LagMillis: 2000})},
-		{"cache events lost", some(fake.Faults{LoseEvents: 0.5})},
-		{"a host killed", func(s *scene) { pause(2 * time.Second); s.kill(0) }},
-		{"a host killed while cancels are lost", func(s *scene) {
+		{"none", func(*harness) {}},
+		{"connections cut before the work", repeatedly(fake.Faults{CutBefore: 2})},
+		{"connections cut after the work", repeatedly(fake.Faults{CutAfter: 2})},
+		{"refused as not run", repeatedly(fake.Faults{RefuseShare: 0.3})},
+		{"refused without vouching", repeatedly(fake.Faults{RefuseUnvouch: 2})},
+		{"streams die after 3 tokens", repeatedly(fake.Faults{BreakStreams: 2, BreakAfter: 3})},
+		{"streams die, resumed ones begin anew", repeatedly(fake.Faults{BreakStreams: 2, BreakAfter: 3, IgnoreResume: true})},
+		{"streams end early but cleanly", repeatedly(fake.Faults{BreakStreams: 2, BreakAfter: 2, CleanBreak: true})},
+		{"answers crossed", repeatedly(fake.Faults{CrossAnswers: 3})},
+		{"answers late", repeatedly(fake.Faults{LateMillis: 400})},
+		{"transfers stall", repeatedly(fake.Faults{StallTransfers: 2})},
+		{"cancels lost", repeatedly(fake.Faults{LoseCancels: true})},
+		{"cancels lost and streams die", repeatedly(fake.Faults{LoseCancels: true, BreakStreams: 2, BreakAfter: 1})},
+		{"engines slow", repeatedly(fake.Faults{Slow: 4})},
+		{"reports lag by 2 s", repeatedly(fake.Faults{LagMillis: 2000})},
+		{"cache events lost", repeatedly(fake.Faults{LoseEvents: 0.5})},
+		{"a host killed", func(s *harness) { pause(2 * time.Second); s.kill(0) }},
+		{"a host killed while cancels are lost", func(s *harness) {
 			pause(2 * time.Second)
-			s.faults(fake.Faults{LoseCancels: true})
+			s.setFaults(fake.Faults{LoseCancels: true})
 			s.kill(0)
 			pause(500 * time.Millisecond)
-			s.faults(fake.Faults{})
+			s.setFaults(fake.Faults{})
 		}},
-		{"two hosts of a domain killed", func(s *scene) { pause(2 * time.Second); s.kill(1); s.kill(4) }},
-		{"a host killed and restarted", func(s *scene) {
+		{"two hosts of a domain killed", func(s *harness) { pause(2 * time.Second); s.kill(1); s.kill(4) }},
+		{"a host killed and restarted", func(s *harness) {
 			pause(2 * time.Second)
 			s.kill(2)
 			pause(time.Second)
@@ -58,7 +58,7 @@
 				s.fail(err.Error())
 			}
 		}},
-		{"domains cut apart", func(s *scene) {
+		{"domains cut apart", func(s *harness) {
 			pause(2 * time.Second)
 			s.net.Cut("is-a", "is-b", true)
 			s.net.Cut("is-a", "is-c", true)
@@ -66,7 +66,7 @@
 			s.net.Cut("is-a", "is-b", false)
 			s.net.Cut("is-a", "is-c", false)
 		}},
-		{"every domain cut off from all, and the platform", func(s *scene) {
+		{"every domain cut off from all, and the platform", func(s *harness) {
 			cut := func(on bool) {
 				for _, p := range [][2]string{{"is-a", "is-b"}, {"is-a", "is-c"}, {"is-b", "is-c"}, {"is-a", "platform"}, {"is-b", "platform"}, {"is-c", "platform"}} {
 					s.net.Cut(p[0], p[1], on)
@@ -77,8 +77,8 @@
 			pause(5 * time.Second)
 			cut(false)
 		}},
-		{"platform down", func(s *scene) { pause(time.Second); s.Platform.SetDown(true) }},
-		{"a cut and a killed host, twice", func(s *scene) {
+		{"platform down", func(s *harness) { pause(time.Second); s.Platform.SetDown(true) }},
+		{"a cut and a killed host, twice", func(s *harness) {
 			for i := range 2 {
 				pause(1500 * time.Millisecond)
 				s.net.Cut("is-b", "is-c", true)
@@ -93,7 +93,7 @@
 	}
 	for i, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			play(t, options{seed: uint64(i + 1)}, tc.f).report(t)
+			runScenario(t, options{seed: uint64(i + 1)}, tc.inject).report(t)
 		})
 	}
 }
--- a/proof/hundreds_test.go
+++ b/proof/hundreds_test.go
@@ -15,41 +15,43 @@
 	"github.com/embercove/embercove/trial"
 )
 
-// Size of the fleet of TestHundreds: a region whose hosts outnumber its
-// endpoints by far, so that most of them own none.
+// Size of the fleet of TestHundreds: one region with far more hosts than endpoints,
+// so that most hosts own none.
 const (
-	hundredsHosts     = 300
-	hundredsEndpoints = 74
-	hundredsDomains   = 5
+	oneRegionHosts     = 300
+	oneRegionEndpoints = 74
+	oneRegionDomains   = 5
 )
 
-// hundreds makes a document of one region.
-func hundreds(d *config.Document) {
+// oneRegion changes a document to one region with oneRegionEndpoints endpoints.
+func oneRegion(d *config.Document) {
 	runner := map[config.Role]config.Endpoint{}
 	for _, e := range d.Endpoints {
 		runner[e.Role] = e
 	}
 	d.Domains, d.Endpoints = nil, nil
-	for i := range hundredsDomains {
+	for i := range oneRegionDomains {
 		d.Domains = append(d.Domains, config.Domain{Name: fmt.Sprintf("domain-%d", i), Region: "region", LinkBytesPerSecond: 4e9})
 	}
-	for i := range hundredsEndpoints {
+	for i := range oneRegionEndpoints {
 		role := config.Decode
-		if i/hundredsDomains%4 == 0 {
+		if i/oneRegionDomains%4 == 0 {
 			role = config.Prefill
 		}
 		e := runner[role]
-		e.Name, e.Domain = fmt.Sprintf("%s-%d", role, i), d.Domains[i%hundredsDomains].Name
+		e.Name, e.Domain = fmt.Sprintf("%s-%d", role, i), d.Domains[i%oneRegionDomains].Name
 		d.Endpoints = append(d.Endpoints, e)
 	}
 }
 
-// startHundreds starts so many hosts before the endpoints of hundreds.
-func startHundreds(t *testing.T, hosts int) *scene {
+// startOneRegion starts a fleet with the given number of hosts and the endpoints of oneRegion.
+func startOneRegion(t *testing.T, hosts int) *harness {
 	t.Helper()
-	s := &scene{t: t, net: fake.NewNetwork(), gone: map[int]bool{}}
-	c, err := trial.Start(trial.Options{Document: examples.Domaskra, Hosts: hosts, Network: s.net, Change: hundreds, Fatal: s.fail,
-		Settings: func(s *config.Settings) { s.PollMillis = config.DefaultPollMillis }})
+	s := &harness{t: t, net: fake.NewNetwork(), stopped: map[int]bool{}}
+	c, err := trial.Start(trial.Options{
+		Document: examples.Domaskra, Hosts: hosts, Network: s.net, Change: oneRegion, Fatal: s.fail,
+		Settings: func(s *config.Settings) { s.PollMillis = config.DefaultPollMillis },
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,57 +59,58 @@
 	return s
 }
 
-// end stops the hosts, and lets whatever still waits come to its end.
-func (s *scene) end() {
+// shutDown stops the hosts and waits until all pending timers and calls have ended.
+func (s *harness) shutDown() {
 	s.Stop()
 	time.Sleep(time.Minute)
 }
 
-// TestHundreds starts several hundred hosts at once and checks what each of
-// them pays to keep the fleet together, and how old what it decides by is.
+// TestHundreds starts several hundred hosts at once. It bounds the control traffic of each
+// host at the start and when idle, the age of the digests that hosts decide by, and the time
+// until a killed host counts as gone: exchanges and watches must not grow with the fleet.
 func TestHundreds(t *testing.T) {
 	const (
-		mostBytes = 7_500           // a second on each host with peers, in and out: half of what control may take in all
-		mostCalls = 4.0             // a second on each host to peers
-		mostStart = 600             // KB on each host until all know each other
-		mostGone  = 7 * time.Second // two pings that are missed, and three rounds of news after them
-		startSpan = 8 * time.Second
-		watched   = 10 * time.Second
+		maxBytes      = 7_500           // per second and host with peers, in and out: half of TestFleet's bound
+		maxCalls      = 4.0             // per second and host, to peers
+		maxStartKB    = 600             // per host until all hosts know each other
+		maxTakeover   = 7 * time.Second // two missed pings, then three rounds of change notices
+		startDuration = 8 * time.Second
+		interval      = 10 * time.Second
 	)
 	synctest.Test(t, func(t *testing.T) {
-		s := startHundreds(t, hundredsHosts)
-		defer s.end()
-		time.Sleep(startSpan)
-		before, _, calls := s.control()
-		started := float64(before) / hundredsHosts / 1e3
+		s := startOneRegion(t, oneRegionHosts)
+		defer s.shutDown()
+		time.Sleep(startDuration)
+		before, _, calls := s.controlTraffic()
+		started := float64(before) / oneRegionHosts / 1e3
 		t.Logf("start: %.1f KB with peers on each host", started)
-		if started > mostStart {
-			t.Errorf("%.1f KB with peers on each host at the start, want %d at the most", started, mostStart)
+		if started > maxStartKB {
+			t.Errorf("%.1f KB with peers on each host at the start, want at most %d", started, maxStartKB)
 		}
-		time.Sleep(watched)
-		after, _, calls2 := s.control()
-		each := func(n uint64) float64 { return float64(n) / watched.Seconds() / hundredsHosts }
-		bytes, asks := each(after-before), each(calls2-calls)
-		t.Logf("at rest: %.0f B/s and %.2f calls/s with peers on each host", bytes, asks)
-		if bytes > mostBytes {
-			t.Errorf("%.0f B/s with peers on each host, want %d at the most", bytes, mostBytes)
+		time.Sleep(interval)
+		after, _, calls2 := s.controlTraffic()
+		perHost := func(n uint64) float64 { return float64(n) / interval.Seconds() / oneRegionHosts }
+		bytes, rate := perHost(after-before), perHost(calls2-calls)
+		t.Logf("idle: %.0f B/s and %.2f calls/s with peers on each host", bytes, rate)
+		if bytes > maxBytes {
+			t.Errorf("%.0f B/s with peers on each host, want at most %d", bytes, maxBytes)
 		}
-		if asks > mostCalls {
-			t.Errorf("%.2f calls/s to peers on each host, want %.1f at the most", asks, mostCalls)
+		if rate > maxCalls {
+			t.Errorf("%.2f calls/s to peers on each host, want at most %.1f", rate, maxCalls)
 		}
-		s.members(t)
-		s.digestAges(t)
-		if took := s.takeover(t); took > mostGone {
-			t.Errorf("a killed host counts as gone after %s, want %s at the most", took, mostGone)
+		s.checkMembership(t)
+		s.checkDigestAges(t)
+		if took := s.measureTakeover(t); took > maxTakeover {
+			t.Errorf("a killed host counts as gone after %s, want at most %s", took, maxTakeover)
 		}
-		for _, b := range s.broken {
+		for _, b := range s.violations {
 			t.Error(b)
 		}
 	})
 }
 
-// members checks that every host knows every other as live.
-func (s *scene) members(t *testing.T) {
+// checkMembership checks that every host has every other on its list as live.
+func (s *harness) checkMembership(t *testing.T) {
 	now := time.Now()
 	unknown := 0
 	for _, n := range s.Nodes {
@@ -120,14 +123,14 @@
 		unknown += len(s.Nodes) - live
 	}
 	if unknown > 0 {
-		t.Errorf("hosts don't know %d others in all as live", unknown)
+		t.Errorf("%d entries for live hosts are missing, summed over all hosts", unknown)
 	}
 }
 
-// digestAges checks how old the digests of endpoints are where they are decided
-// from: most must be of use to route.Pick, for which one of over 3 s is little worth.
-func (s *scene) digestAges(t *testing.T) {
-	const mostAge = 3500 * time.Millisecond // one round beyond that
+// checkDigestAges checks the age of endpoints' digests on the hosts that decide by them. Nine in
+// ten must be useful to route.Pick, which gives a digest older than 3 s little weight.
+func (s *harness) checkDigestAges(t *testing.T) {
+	const maxAge = 3500 * time.Millisecond // those 3 s and one round of exchanges
 	var own, others []time.Duration
 	now := time.Now()
 	for _, n := range s.Nodes {
@@ -151,79 +154,81 @@
 		ages []time.Duration
 	}{{"the own failure domain", own}, {"others", others}} {
 		slices.Sort(c.ages)
-		at := func(share float64) time.Duration { return c.ages[int(share*float64(len(c.ages)-1))] }
-		t.Logf("digests of %s: median %s, 90 in 100 %s, oldest %s", c.of, at(0.5), at(0.9), at(1))
-		if at(0.9) > mostAge {
-			t.Errorf("one in ten digests of %s is older than %s: %s", c.of, mostAge, at(0.9))
+		quantile := func(share float64) time.Duration { return c.ages[int(share*float64(len(c.ages)-1))] }
+		t.Logf("digests of %s: median %s, 90th percentile %s, oldest %s", c.of, quantile(0.5), quantile(0.9), quantile(1))
+		if quantile(0.9) > maxAge {
+			t.Errorf("one in ten digests of %s is older than %s: 90th percentile %s", c.of, maxAge, quantile(0.9))
 		}
 	}
 }
 
-// TestSilence has all open connections go silent for good, while new ones work, and
-// checks that no host is taken for gone, and that digests are soon as fresh as before.
+// TestSilence makes all open connections go silent for good, without a reset, while new ones
+// work. Hosts must ping over a new connection then: no host may suspect another of being gone,
+// and digests must soon be as fresh as before.
 func TestSilence(t *testing.T) {
 	const (
-		hosts = 60
-		soon  = 5 * time.Second
+		hosts  = 60
+		window = 5 * time.Second
 	)
 	synctest.Test(t, func(t *testing.T) {
-		s := startHundreds(t, hosts)
-		defer s.end()
+		s := startOneRegion(t, hosts)
+		defer s.shutDown()
 		time.Sleep(10 * time.Second)
 		s.net.Silence()
 		answers := make(chan []load.Result)
 		go func() {
-			answers <- s.send(load.Mixes["domaskra"].Arrivals(1, hosts, soon, 0))
+			answers <- s.send(load.Mixes["domaskra"].Arrivals(1, hosts, window, 0))
 		}()
-		accused := 0
-		for end := time.Now().Add(soon); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-			here := 0
+		suspected := 0
+		for end := time.Now().Add(window); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
+			current := 0
 			for _, n := range s.Nodes {
-				here += len(n.Board.Hosts.Accused(time.Now(), soon))
+				current += len(n.Board.Hosts.Accused(time.Now(), window))
 			}
-			accused = max(accused, here)
+			suspected = max(suspected, current)
 		}
-		if accused > 0 {
-			t.Errorf("at one time hosts took %d others in all for gone", accused)
+		if suspected > 0 {
+			t.Errorf("at one time hosts suspected %d others of being gone, summed over all hosts", suspected)
 		}
 		rs := <-answers
-		if n := answered(rs); n < len(rs)*9/10 {
-			t.Errorf("%d of %d answered, want nine in ten", n, len(rs))
+		if n := countCorrect(rs); n < len(rs)*9/10 {
+			t.Errorf("%d of %d answered, want at least nine in ten", n, len(rs))
 		} else {
 			t.Logf("%d of %d answered", n, len(rs))
 		}
-		s.members(t)
-		s.digestAges(t)
+		s.checkMembership(t)
+		s.checkDigestAges(t)
 	})
 }
 
-// TestDoubts has every host doubt some others, as after a burst of calls that came
-// to no answer in time, and checks that a doubt ends soon where they answer again.
+// TestDoubts has every host mark five others as unconfirmed, as a burst of calls that time out
+// does. The mark must go soon, as those hosts answer pings; until then another host acts as
+// owner in their place.
 func TestDoubts(t *testing.T) {
 	const (
 		hosts = 60
-		soon  = 1500 * time.Millisecond
+		bound = 1500 * time.Millisecond
 	)
 	synctest.Test(t, func(t *testing.T) {
-		s := startHundreds(t, hosts)
-		defer s.end()
+		s := startOneRegion(t, hosts)
+		defer s.shutDown()
 		time.Sleep(5 * time.Second)
 		for _, n := range s.Nodes {
 			for _, other := range s.Nodes[:5] {
 				n.Board.Hosts.Doubt(other.Board.Number)
 			}
 		}
-		time.Sleep(soon)
-		doubts := 0
+		time.Sleep(bound)
+		unconfirmed := 0
 		for _, n := range s.Nodes {
 			for _, h := range n.Board.Hosts.List() {
 				if h.Doubted {
-					doubts++
+					unconfirmed++
 				}
 			}
 		}
-		if doubts > 0 {
-			t.Errorf("%d of %d doubts stand after %s", doubts, 5*hosts-5, soon)
+		if unconfirmed > 0 {
+			t.Errorf("%d of %d hosts are still unconfirmed after %s", unconfirmed, 5*hosts-5, bound)
 		}
 	})
 }
--- a/proof/keys_test.go
+++ b/proof/keys_test.go
@@ -11,9 +11,9 @@
 	"github.com/embercove/embercove/result"
 )
 
-// twins makes each arrival come twice with one idempotency key, the second
-// some time later at another host, as a caller does that lost its answer.
-func twins(as []load.Arrival) []load.Arrival {
+// duplicate sends each arrival twice under one idempotency key, the second time up to
+// 4 s later and at another host, as a caller does that lost its answer.
+func duplicate(as []load.Arrival) []load.Arrival {
 	r := rand.New(rand.NewPCG(1, 1))
 	var out []load.Arrival
 	for i, a := range as {
@@ -27,16 +27,16 @@
 	return out
 }
 
-// TestKeys sends every request twice under one key and judges that no request
-// is answered twice, whatever happens to the hosts that hold the keys.
+// TestKeys sends every request twice under one idempotency key. No key may be answered
+// twice, whatever happens to the hosts that hold the key's record.
 func TestKeys(t *testing.T) {
 	cases := []struct {
-		name string
-		f    func(s *scene)
+		name   string
+		inject func(s *harness)
 	}{
-		{"no fault", func(*scene) {}},
-		{"a holder killed", func(s *scene) { time.Sleep(2 * time.Second); s.kill(0) }},
-		{"a holder killed and restarted", func(s *scene) {
+		{"no fault", func(*harness) {}},
+		{"a holder killed", func(s *harness) { time.Sleep(2 * time.Second); s.kill(0) }},
+		{"a holder killed and restarted", func(s *harness) {
 			time.Sleep(2 * time.Second)
 			s.kill(4)
 			time.Sleep(time.Second)
@@ -44,14 +44,14 @@
 				s.fail(err.Error())
 			}
 		}},
-		{"a holder stopped as planned", func(s *scene) {
+		{"a holder stopped as planned", func(s *harness) {
 			time.Sleep(2 * time.Second)
 			s.mu.Lock()
-			s.gone[2] = true
+			s.stopped[2] = true
 			s.mu.Unlock()
 			s.Nodes[2].Drain()
 		}},
-		{"domains cut apart", func(s *scene) {
+		{"domains cut apart", func(s *harness) {
 			time.Sleep(2 * time.Second)
 			s.net.Cut("is-a", "is-b", true)
 			s.net.Cut("is-a", "is-c", true)
@@ -59,22 +59,22 @@
 			s.net.Cut("is-a", "is-b", false)
 			s.net.Cut("is-a", "is-c", false)
 		}},
-		{"streams die", func(s *scene) {
+		{"streams die", func(s *harness) {
 			for range 6 {
 				time.Sleep(time.Second)
-				s.faults(fake.Faults{BreakStreams: 2, BreakAfter: 2, CutAfter: 1})
+				s.setFaults(fake.Faults{BreakStreams: 2, BreakAfter: 2, CutAfter: 1})
 			}
 		}},
 	}
 	for i, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			var all []load.Arrival
-			p := play(t, options{seed: uint64(400 + i), rate: 9, edit: func(as *[]load.Arrival) {
-				*as = twins(*as)
+			p := runScenario(t, options{seed: uint64(400 + i), rate: 9, edit: func(as *[]load.Arrival) {
+				*as = duplicate(*as)
 				sortByTime(*as)
 				all = *as
-			}}, func(s *scene) {
-				tc.f(s)
+			}}, func(s *harness) {
+				tc.inject(s)
 			})
 			p.report(t)
 			answered := map[string]int{}
@@ -92,16 +92,16 @@
 	}
 }
 
-// TestOldKeys sends keys that were first sent before any holder's tenure
-// began: nobody can say whether they ran, and they are not run again.
+// TestOldKeys sends keys that callers first used before any of the keys' holders started.
+// No host can tell whether their requests ran, so none may run them again.
 func TestOldKeys(t *testing.T) {
-	p := play(t, options{seed: 450, rate: 5, span: 3 * time.Second, edit: func(as *[]load.Arrival) {
+	p := runScenario(t, options{seed: 450, rate: 5, span: 3 * time.Second, edit: func(as *[]load.Arrival) {
 		for i := range *as {
 			a := &(*as)[i]
 			a.Key, a.KeyAge, a.Leaves = fmt.Sprintf("old%d", i), time.Hour, 0
 		}
-	}}, func(*scene) {})
-	for _, b := range p.broken {
+	}}, func(*harness) {})
+	for _, b := range p.violations {
 		t.Error(b)
 	}
 	if p.codes[result.OutcomeUnknown] != p.sent || p.sent == 0 {
--- a/proof/leaving_test.go
+++ b/proof/leaving_test.go
@@ -8,13 +8,14 @@
 	"github.com/embercove/embercove/internal/fake"
 )
 
-// leavingGrace is the time after which a leaving endpoint gets no new work.
+// leavingGrace is the time within which a leaving endpoint must stop getting new work.
 const leavingGrace = 3 * time.Second
 
-// TestLeaving has endpoints leave, by the configuration or by their own
-// report, while parts of the system are cut off or gone.
+// TestLeaving has endpoints leave, by the configuration or by their own report, while
+// the platform or hosts are down or a failure domain is cut off. Hosts must learn of it
+// and send those endpoints no new work after leavingGrace.
 func TestLeaving(t *testing.T) {
-	byReport := func(s *scene, names ...string) {
+	reportLeaving := func(s *harness, names ...string) {
 		for _, n := range names {
 			if r := s.Runners[n]; r != nil {
 				r.SetFaults(fake.Faults{Leaving: true})
@@ -24,46 +25,46 @@
 		}
 	}
 	cases := []struct {
-		name string
-		who  []string
-		f    func(s *scene, who []string)
+		name      string
+		endpoints []string
+		inject    func(s *harness, endpoints []string)
 	}{
-		{"by its own report", []string{"docket-decode-3", "docket-prefill-1", "listings-2"}, func(s *scene, who []string) { byReport(s, who...) }},
-		{"by its own report, platform down", []string{"docket-decode-1"}, func(s *scene, who []string) {
+		{"by its own report", []string{"docket-decode-3", "docket-prefill-1", "listings-2"}, func(s *harness, endpoints []string) { reportLeaving(s, endpoints...) }},
+		{"by its own report, platform down", []string{"docket-decode-1"}, func(s *harness, endpoints []string) {
 			s.Platform.SetDown(true)
-			byReport(s, who...)
+			reportLeaving(s, endpoints...)
 		}},
-		{"by the configuration", []string{"docket-prefill-2", "docket-decode-2"}, func(s *scene, who []string) {
+		{"by the configuration", []string{"docket-prefill-2", "docket-decode-2"}, func(s *harness, endpoints []string) {
 			s.publish(func(d *config.Document) {
 				for i := range d.Endpoints {
 					e := &d.Endpoints[i]
-					e.Leaving = e.Name == who[0] || e.Name == who[1]
+					e.Leaving = e.Name == endpoints[0] || e.Name == endpoints[1]
 				}
 			})
 		}},
-		{"by its own report, its hosts killed", []string{"docket-decode-3"}, func(s *scene, who []string) {
-			byReport(s, who...)
+		{"by its own report, its hosts killed", []string{"docket-decode-3"}, func(s *harness, endpoints []string) {
+			reportLeaving(s, endpoints...)
 			s.kill(1) // one of the two hosts of is-b
 		}},
-		{"by the configuration, its domain cut off from the others", []string{"docket-decode-3"}, func(s *scene, who []string) {
+		{"by the configuration, its domain cut off from the others", []string{"docket-decode-3"}, func(s *harness, endpoints []string) {
 			s.net.Cut("is-b", "is-a", true)
 			s.net.Cut("is-b", "is-c", true)
 			s.publish(func(d *config.Document) {
 				for i := range d.Endpoints {
-					d.Endpoints[i].Leaving = d.Endpoints[i].Name == who[0]
+					d.Endpoints[i].Leaving = d.Endpoints[i].Name == endpoints[0]
 				}
 			})
 		}},
 	}
 	for i, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			play(t, options{seed: uint64(200 + i)}, func(s *scene) {
+			runScenario(t, options{seed: uint64(200 + i)}, func(s *harness) {
 				time.Sleep(2 * time.Second)
-				tc.f(s, tc.who)
+				tc.inject(s, tc.endpoints)
 				limit := time.Now().Add(leavingGrace).UnixMilli()
 				time.Sleep(6 * time.Second)
-				for _, name := range tc.who {
-					for _, rec := range s.truthOf(name) {
+				for _, name := range tc.endpoints {
+					for _, rec := range s.recordsOf(name) {
 						if rec.StartedMS > limit {
 							s.fail(name + " got new work after it was leaving: " + rec.ID)
 						}
@@ -74,17 +75,18 @@
 	}
 }
 
-func (s *scene) truthOf(name string) []fake.Record {
+// recordsOf returns what an endpoint itself recorded of its calls.
+func (s *harness) recordsOf(name string) []fake.Record {
 	if r := s.Runners[name]; r != nil {
 		return r.Truth()
 	}
 	return s.Apps[name].Truth()
 }
 
-// TestRollingRestart stops every host as planned, one after the other, under
-// load: no request in progress is cut off.
+// TestRollingRestart drains and restarts the hosts one after the other under load.
+// Draining must wait for the requests in progress: none may be cut off.
 func TestRollingRestart(t *testing.T) {
-	p := play(t, options{seed: 300, span: 24 * time.Second}, func(s *scene) {
+	p := runScenario(t, options{seed: 300, span: 24 * time.Second}, func(s *harness) {
 		for i, n := range s.Nodes {
 			if left := n.Drain(); left > 0 {
 				s.fail("requests were cut off")
@@ -94,14 +96,14 @@
 			}
 		}
 	})
-	// A host that is down between its stop and its start can't be reached;
-	// the balancer knows that, the sender doesn't.
-	kept := p.broken[:0]
-	for _, b := range p.broken {
+	// A host refuses connections between its stop and its start. A load balancer
+	// would avoid it, the test's sender doesn't, so these failures don't count.
+	kept := p.violations[:0]
+	for _, b := range p.violations {
 		if !isRefusedConnection(b) {
 			kept = append(kept, b)
 		}
 	}
-	p.broken = kept
+	p.violations = kept
 	p.report(t)
 }
--- a/proof/limit_test.go
+++ b/proof/limit_test.go
@@ -15,52 +15,55 @@
 )
 
 const (
-	limitWindow = 4 * time.Second        // in which requests are counted
-	limitPassed = 500 * time.Millisecond // after a host has passed a name on it counts
-	limitNews   = 300 * time.Millisecond // in which all hosts hear of a limit
-	limitUsed   = 0.9                    // of the limit is used while more is asked
-	limitTakes  = 60 * time.Millisecond  // an answer takes
+	limitWindow = 4 * time.Second // interval over which requests are counted
+	// limitGrace is the time from a host's first answer that names the limit until its requests
+	// count, whether or not it applies the limit by then.
+	limitGrace        = 500 * time.Millisecond
+	limitAppliedAfter = 300 * time.Millisecond // until all hosts have received a limit, or its end
+	limitUtilization  = 0.9                    // least share of the limit that is used while demand exceeds it
+	callDuration      = 60 * time.Millisecond  // of each call
 )
 
-// knows reports whether a host believes that the shared endpoint names a limit.
-func (s *coldScene) knows(i int) (known bool) {
-	s.Nodes[i].Board.Endpoints.Find(route.Number(coldName), func(_ *config.View, st *route.State) { known = st.Limit.Word().Named })
-	return known
+// hasLimit reports whether host i applies a limit to the shared endpoint.
+func (s *sharedHarness) hasLimit(i int) (has bool) {
+	s.Nodes[i].Board.Endpoints.Find(route.Number(coldName), func(_ *config.View, st *route.State) { has = st.Limit.Word().Named })
+	return has
 }
 
-// askLimited has a host call the endpoint. It asks for a start once it has heard of the limit, and
-// each answer names the limit while there is one.
-func (s *coldScene) askLimited(i int, r *peer.Router, spec *config.Endpoint) {
-	if s.knows(i) {
-		start := r.Start(context.Background(), spec, peer.StartAsk{Wait: askWait, Warm: true})
-		if !start.Given {
+// callLimited has host i call the endpoint. Once the host applies the limit it needs a start permit
+// for the call.
+func (s *sharedHarness) callLimited(i int, r *peer.Router, spec *config.Endpoint) {
+	if s.hasLimit(i) {
+		permit := r.Start(context.Background(), spec, peer.StartAsk{Wait: permitWait, Warm: true})
+		if !permit.Given {
 			return
 		}
-		if time.Sleep(start.In); !clock.Now().Before(start.Until) {
+		if time.Sleep(permit.In); !clock.Now().Before(permit.Until) {
 			return
 		}
 	}
-	s.call(i, r, spec)
+	s.callEndpoint(i, r, spec)
 }
 
-// call has a host call the endpoint and hear its answer.
-func (s *coldScene) call(i int, r *peer.Router, spec *config.Endpoint) {
+// callEndpoint has host i call the endpoint and receive its answer, which names the limit while there
+// is one.
+func (s *sharedHarness) callEndpoint(i int, r *peer.Router, spec *config.Endpoint) {
 	s.mu.Lock()
 	now := time.Now()
 	if s.down[i] {
 		s.mu.Unlock()
 		return
 	}
-	if told := s.told[i]; s.limit >= 0 && (s.knows(i) || !told.IsZero() && now.Sub(told) >= limitPassed) {
-		s.used = append(s.used, now)
+	if learned := s.learnedAt[i]; s.limit >= 0 && (s.hasLimit(i) || !learned.IsZero() && now.Sub(learned) >= limitGrace) {
+		s.sentAt = append(s.sentAt, now)
 	}
 	s.mu.Unlock()
 	sent := clock.Now()
-	time.Sleep(limitTakes)
+	time.Sleep(callDuration)
 	s.mu.Lock()
 	down, limit := s.down[i], s.limit
-	if s.told[i].IsZero() {
-		s.told[i] = time.Now()
+	if s.learnedAt[i].IsZero() {
+		s.learnedAt[i] = time.Now()
 	}
 	s.mu.Unlock()
 	if down {
@@ -73,133 +76,139 @@
 	r.Heard(spec, pace.Word{At: sent, Born: spec.Born})
 }
 
-// endLimited stops asking and checks all that was sent by hosts that had heard of the limit, by
-// others or, for half a second, by an answer that they passed on.
-func (s *coldScene) endLimited(t *testing.T, limit, over, extra float64) {
+// finishLimited stops the calls, checks that no limitWindow got more than factor times the limit
+// plus the allowance, and shuts the fleet down. It counts the calls of hosts that applied the limit
+// or had first got an answer that names it at least limitGrace before.
+func (s *sharedHarness) finishLimited(t *testing.T, limit, factor, allowance float64) {
 	close(s.stop)
 	s.wait.Wait()
-	slices.SortFunc(s.used, time.Time.Compare)
-	most := 0
-	for first, last := 0, 0; last < len(s.used); last++ {
-		for s.used[last].Sub(s.used[first]) >= limitWindow {
+	slices.SortFunc(s.sentAt, time.Time.Compare)
+	maxSent := 0
+	for first, last := 0, 0; last < len(s.sentAt); last++ {
+		for s.sentAt[last].Sub(s.sentAt[first]) >= limitWindow {
 			first++
 		}
-		most = max(most, last-first+1)
+		maxSent = max(maxSent, last-first+1)
 	}
-	t.Logf("%d sent, %d in the fullest %v", len(s.used), most, limitWindow)
-	if allowed := over*limit*limitWindow.Seconds() + extra; float64(most) > allowed {
-		t.Errorf("%d requests in %v, %.1f allowed", most, limitWindow, allowed)
+	t.Logf("%d sent, at most %d in %v", len(s.sentAt), maxSent, limitWindow)
+	if allowed := factor*limit*limitWindow.Seconds() + allowance; float64(maxSent) > allowed {
+		t.Errorf("%d requests in %v, want at most %.1f", maxSent, limitWindow, allowed)
 	}
-	for _, b := range s.broken {
+	for _, b := range s.violations {
 		t.Error(b)
 	}
-	s.scene.end()
+	s.harness.shutDown()
 }
 
-// uses lets some time go by, in which at least 20 requests are due, and checks that the endpoint
-// gets a part of what it takes.
-func (s *coldScene) uses(t *testing.T, limit, part float64) {
+// checkUtilization runs the fleet for 10 s, or longer if the limit allows fewer than 20 requests in
+// that time, and checks that the endpoint gets at least a share of its limit.
+func (s *sharedHarness) checkUtilization(t *testing.T, limit, share float64) {
 	t.Helper()
-	d, least := time.Duration(max(10, 20/limit)*float64(time.Second)), part*limit
-	if rate := s.pass(d); rate < least {
-		t.Errorf("%.2f requests a second were sent, want %.2f at the least", rate, least)
+	d, minRate := time.Duration(max(10, 20/limit)*float64(time.Second)), share*limit
+	if rate := s.runFor(d); rate < minRate {
+		t.Errorf("%.2f requests/s were sent, want at least %.2f", rate, minRate)
 	}
 }
 
-// TestLimit has several hundred hosts share an endpoint that names a limit: all hear of it from
-// the first answer, it gets that much and no more, and once it names none all hosts know.
+// TestLimit has several hundred hosts share an endpoint that names a limit. All hosts must apply
+// the limit soon after the first answer that names it, the endpoint must get nearly that many
+// requests and no more, and all hosts must drop the limit soon after the first answer without one.
 func TestLimit(t *testing.T) {
 	const limit = 21.0
 	synctest.Test(t, func(t *testing.T) {
-		s := startShared(t, hundredsHosts, limit)
-		for s.lacking(true) == hundredsHosts {
+		s := startSharedFleet(t, oneRegionHosts, limit)
+		for s.countMismatched(true) == oneRegionHosts {
 			time.Sleep(10 * time.Millisecond)
 		}
-		time.Sleep(limitNews)
-		if n := s.lacking(true); n > 0 {
-			t.Errorf("%d hosts haven't heard of the limit %v after the first answer", n, limitNews)
+		time.Sleep(limitAppliedAfter)
+		if n := s.countMismatched(true); n > 0 {
+			t.Errorf("%d hosts don't apply the limit %v after the first answer", n, limitAppliedAfter)
 		}
-		s.pass(coldAlike)
-		bytes, _, calls := s.control()
-		s.uses(t, limit, limitUsed)
-		bytes2, _, calls2 := s.control()
-		t.Logf("%.0f B/s and %.2f calls/s with peers on each host", float64(bytes2-bytes)/10/hundredsHosts, float64(calls2-calls)/10/hundredsHosts)
+		s.runFor(convergenceTime)
+		bytes, _, calls := s.controlTraffic()
+		s.checkUtilization(t, limit, limitUtilization)
+		bytes2, _, calls2 := s.controlTraffic()
+		t.Logf("%.0f B/s and %.2f calls/s with peers on each host",
+			float64(bytes2-bytes)/10/oneRegionHosts, float64(calls2-calls)/10/oneRegionHosts)
 		s.mu.Lock()
-		s.limit = -1 // it names none any more
+		s.limit = -1 // answers name none any more
 		s.mu.Unlock()
-		for s.lacking(false) == hundredsHosts {
+		for s.countMismatched(false) == oneRegionHosts {
 			time.Sleep(10 * time.Millisecond)
 		}
-		time.Sleep(limitNews)
-		if n := s.lacking(false); n > 0 {
-			t.Errorf("%d hosts keep to the limit %v after the first answer without one", n, limitNews)
+		time.Sleep(limitAppliedAfter)
+		if n := s.countMismatched(false); n > 0 {
+			t.Errorf("%d hosts still apply the limit %v after the first answer without one", n, limitAppliedAfter)
 		}
-		s.endLimited(t, limit, 1.1, 1)
+		s.finishLimited(t, limit, 1.1, 1)
 	})
 }
 
-// lacking returns how many hosts don't believe that the endpoint names a limit, or none.
-func (s *coldScene) lacking(named bool) (n int) {
+// countMismatched returns how many hosts differ from want, which says whether they should apply a limit.
+func (s *sharedHarness) countMismatched(want bool) (n int) {
 	for i := range s.Nodes {
-		if s.knows(i) != named {
+		if s.hasLimit(i) != want {
 			n++
 		}
 	}
 	return n
 }
 
-// TestLimitFaults has one thing fail at a time while hosts share an endpoint that names a limit.
+// TestLimitFaults injects one fault at a time while hosts share an endpoint that names a limit.
+// Owners that change, restart or are isolated must not issue more start permits than the limit
+// allows; once the fault is over, hosts must use nearly all of it again.
 func TestLimitFaults(t *testing.T) {
 	const hosts = 60
 	for _, limit := range []float64{0.5, 5.7, 60} {
 		for _, tc := range sharedFaults() {
 			t.Run(tc.name, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					s := startShared(t, hosts, limit)
-					s.pass(coldAlike)
-					tc.strike(s)
-					s.pass(coldAlike)
-					s.uses(t, limit, limitUsed)
-					s.endLimited(t, limit, 1.5, 5)
+					s := startSharedFleet(t, hosts, limit)
+					s.runFor(convergenceTime)
+					tc.inject(s)
+					s.runFor(convergenceTime)
+					s.checkUtilization(t, limit, limitUtilization)
+					s.finishLimited(t, limit, 1.5, 5)
 				})
 			})
 		}
 	}
 }
 
-// TestLimitConfirmed has one host hear a limit just after another was sent the answer without one
-// that ends it. The host keeps to it, as its word is the later one, until an answer of a later
-// call is told, though that changes nothing for who tells it.
+// TestLimitConfirmed has host 1 get an answer that names a limit just after the call was sent whose
+// answer to host 0 names none any more. Host 1 keeps the limit when host 0 announces its end, as its
+// own report is later. It must drop the limit after a later answer to host 0: that answer changes
+// nothing at host 0, but has to be announced all the same.
 func TestLimitConfirmed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const limit = 5.7
-		s := startShared(t, 6, limit)
-		close(s.stop) // nobody calls
+		s := startSharedFleet(t, 6, limit)
+		close(s.stop) // no calls: the test reports answers itself
 		s.wait.Wait()
 		time.Sleep(2 * time.Second)
-		hear := func(i int, named bool, at time.Time) {
+		observe := func(i int, named bool, at time.Time) {
 			n := s.Nodes[i]
 			n.Router.Heard(n.Board.Config.View().Endpoint(coldName), pace.Word{Named: named, PerSecond: limit, At: at})
 		}
 		now := clock.Now()
-		hear(0, true, now)
-		time.Sleep(limitNews)
-		if n := s.lacking(true); n > 0 {
-			t.Errorf("%d hosts haven't heard of the limit", n)
+		observe(0, true, now)
+		time.Sleep(limitAppliedAfter)
+		if n := s.countMismatched(true); n > 0 {
+			t.Errorf("%d hosts don't apply the limit", n)
 		}
-		time.Sleep(time.Second) // the limit is news no longer
+		time.Sleep(time.Second) // until answers that confirm the limit are no longer announced
 		now = clock.Now()
-		hear(1, true, now.Add(100*time.Millisecond))
-		hear(0, false, now.Add(50*time.Millisecond))
-		time.Sleep(limitNews)
-		if n := s.lacking(false); n != 1 {
-			t.Errorf("%d hosts keep to the limit, want the one that heard it last", n)
+		observe(1, true, now.Add(100*time.Millisecond))
+		observe(0, false, now.Add(50*time.Millisecond))
+		time.Sleep(limitAppliedAfter)
+		if n := s.countMismatched(false); n != 1 {
+			t.Errorf("%d hosts apply the limit, want only the one with the latest report", n)
 		}
-		hear(0, false, now.Add(200*time.Millisecond))
-		time.Sleep(limitNews)
-		if n := s.lacking(false); n > 0 {
-			t.Errorf("%d hosts keep to the limit after an answer of a later call", n)
+		observe(0, false, now.Add(200*time.Millisecond))
+		time.Sleep(limitAppliedAfter)
+		if n := s.countMismatched(false); n > 0 {
+			t.Errorf("%d hosts apply the limit after the answer to a later call", n)
 		}
-		s.scene.end()
+		s.harness.shutDown()
 	})
 }
--- a/proof/policy_test.go
+++ b/proof/policy_test.go
@@ -13,8 +13,8 @@
 	"github.com/embercove/embercove/trial"
 )
 
-// measure does a measured run in virtual time.
-func measure(t *testing.T, r load.Run) (rep load.Report, rs []load.Result) {
+// measureRun runs a deployment under load in virtual time and returns what was measured.
+func measureRun(t *testing.T, r load.Run) (rep load.Report, rs []load.Result) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		r.Network, r.Fatal = fake.NewNetwork(), func(m string) { t.Error(m) }
@@ -28,8 +28,8 @@
 	return rep, rs
 }
 
-// sumAll adds up what the hosts of a cluster recorded.
-func sumAll(c *trial.Cluster) (s report.Sum) {
+// totals adds up the requests, tries and attempts that the hosts of a cluster recorded.
+func totals(c *trial.Cluster) (s report.Sum) {
 	for _, n := range c.Nodes {
 		h := n.Record.Sum()
 		s.Requests += h.Requests
@@ -39,16 +39,16 @@
 	return s
 }
 
-// TestRetryStorm has one endpoint in three, and then every endpoint, fail
-// every call: tries stay under 1.2 for each request.
+// TestRetryStorm makes a third of the engines, or all prefill engines, fail every call.
+// Retries must not multiply the load: there must be fewer than 1.2 tries per request.
 func TestRetryStorm(t *testing.T) {
-	const most = 1.2
+	const maxTries = 1.2
 	third := []string{"docket-prefill-1", "docket-prefill-4", "docket-decode-2"}
 	all := []string{"docket-prefill-1", "docket-prefill-2", "docket-prefill-3", "docket-prefill-4", "docket-prefill-5", "docket-prefill-6"}
 	cases := []struct {
-		name string
-		who  []string
-		f    fake.Faults
+		name      string
+		endpoints []string
+		faults    fake.Faults
 	}{
 		{"a third breaks", third, fake.Faults{RefuseUnvouch: 1 << 20}},
 		{"a third hangs up", third, fake.Faults{CutBefore: 1 << 20}},
@@ -59,52 +59,54 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			var sum report.Sum
-			p := play(t, options{seed: 500, span: 12 * time.Second, edit: func(as *[]load.Arrival) {
+			p := runScenario(t, options{seed: 500, span: 12 * time.Second, edit: func(as *[]load.Arrival) {
 				for i := range *as {
 					(*as)[i].Once = false
 				}
-			}}, func(s *scene) {
-				for _, n := range tc.who {
-					s.Runners[n].SetFaults(tc.f)
+			}}, func(s *harness) {
+				for _, n := range tc.endpoints {
+					s.Runners[n].SetFaults(tc.faults)
 				}
 				time.Sleep(11 * time.Second)
-				sum = sumAll(s.Cluster)
+				sum = totals(s.Cluster)
 			})
-			if len(tc.who) < len(all) {
+			if len(tc.endpoints) < len(all) {
 				p.report(t)
 			}
 			tries := float64(sum.Tries) / float64(sum.Requests)
-			if tries >= most {
-				t.Errorf("%.3f tries for each of %d requests, want less than %g", tries, sum.Requests, most)
+			if tries >= maxTries {
+				t.Errorf("%.3f tries per request over %d requests, want less than %g", tries, sum.Requests, maxTries)
 			}
-			t.Logf("%.3f tries and %.3f calls for each request, %d of %d answered", tries, float64(sum.Attempts)/float64(sum.Requests), p.good, p.sent)
+			t.Logf("%.3f tries and %.3f calls per request, %d of %d answered",
+				tries, float64(sum.Attempts)/float64(sum.Requests), p.good, p.sent)
 		})
 	}
 }
 
-// TestOwnerKilledAtPeak kills the host that owns most endpoints at full load.
-// Its own callers lose their connections; what the others get is in time again
-// within three seconds.
+// TestOwnerKilledAtPeak kills the host that owns the most endpoints at full load. Its own
+// callers lose their connections and aren't counted. Other hosts must take its endpoints
+// over, so that the callers of those hosts get nearly as many answers in time as before
+// again within three seconds.
 func TestOwnerKilledAtPeak(t *testing.T) {
 	const (
-		span, strike = 16 * time.Second, 8 * time.Second
-		back         = 3 * time.Second
-		least        = 0.9 // of what was in time before
+		span, killAt = 16 * time.Second, 8 * time.Second
+		recovery     = 3 * time.Second
+		minShare     = 0.9 // of the share that was in time before
 	)
-	dead := -1
-	_, rs := measure(t, load.Run{Deployment: "domaskra", Mode: config.ModeOwner, Factor: 1, Span: span, During: func(c *trial.Cluster) {
-		time.Sleep(strike)
-		most := -1
+	killed := -1
+	_, rs := measureRun(t, load.Run{Deployment: "domaskra", Mode: config.ModeOwner, Factor: 1, Span: span, During: func(c *trial.Cluster) {
+		time.Sleep(killAt)
+		maxOwned := -1
 		for i, n := range c.Nodes {
-			if k := len(n.Owner.Owned(time.Now())); k > most {
-				most, dead = k, i
+			if k := len(n.Owner.Owned(time.Now())); k > maxOwned {
+				maxOwned, killed = k, i
 			}
 		}
-		c.Nodes[dead].Stop()
+		c.Nodes[killed].Stop()
 	}})
 	sent, good := make([]int, span/time.Second), make([]int, span/time.Second)
 	for _, r := range rs {
-		if r.Host%load.DefaultHosts == dead {
+		if r.Host%load.DefaultHosts == killed {
 			continue
 		}
 		s := int(r.At / time.Second)
@@ -120,17 +122,18 @@
 		}
 		return float64(g) / float64(n)
 	}
-	before, during, after := share(2*time.Second, strike), share(strike, strike+back), share(strike+back, span)
-	t.Logf("in time: %.1f%% before, %.1f%% in the three seconds after, %.1f%% from then on; by second %v of %v", 100*before, 100*during, 100*after, good, sent)
-	if after < least*before {
-		t.Errorf("%.1f%% in time later than %s after the kill, %.1f%% before", 100*after, back, 100*before)
+	before, during, after := share(2*time.Second, killAt), share(killAt, killAt+recovery), share(killAt+recovery, span)
+	t.Logf("in time: %.1f%% before, %.1f%% in the three seconds after, %.1f%% from then on; by second %v of %v",
+		100*before, 100*during, 100*after, good, sent)
+	if after < minShare*before {
+		t.Errorf("%.1f%% in time from %s after the kill on, %.1f%% before it", 100*after, recovery, 100*before)
 	}
 }
 
-// TestOneTeamAtTenTimes floods the pools with one team at ten times its share:
-// nearly everything that another team asks for is answered in time.
+// TestOneTeamAtTenTimes floods the pools with one team at ten times its share. The requests
+// of another team must not queue behind the flood: nearly all must be answered in time.
 func TestOneTeamAtTenTimes(t *testing.T) {
-	const least = 0.9
+	const minShare = 0.9
 	mix := load.Mixes["domaskra"]
 	as := mix.Arrivals(9, 70, 15*time.Second, 0)
 	for i := range as {
@@ -139,29 +142,30 @@
 			as[i].Team = "press"
 		}
 	}
-	rep, _ := measure(t, load.Run{Deployment: "domaskra", Mode: config.ModeOwner, Span: 15 * time.Second, Arrivals: as})
+	rep, _ := measureRun(t, load.Run{Deployment: "domaskra", Mode: config.ModeOwner, Span: 15 * time.Second, Arrivals: as})
 	press, lawyers := rep.Kinds["team press"], rep.Kinds["team lawyers"]
 	t.Logf("press %d of %d, lawyers %d of %d in time", press.Good, press.Offered, lawyers.Good, lawyers.Offered)
-	if float64(press.Good) < least*float64(press.Offered) {
+	if float64(press.Good) < minShare*float64(press.Offered) {
 		t.Errorf("press: %d of %d in time beside a team at ten times its share", press.Good, press.Offered)
 	}
 }
 
-// TestAheadOfBaselines compares the policies on the same arrivals above
-// capacity; in virtual time the figures don't depend on the machine.
+// TestAheadOfBaselines compares the policies on the same arrivals above capacity: routing by
+// endpoint owners must answer more requests in time than each baseline. In virtual time the
+// figures don't depend on the machine.
 func TestAheadOfBaselines(t *testing.T) {
 	baselines := []config.PolicyMode{config.ModeLagged, config.ModeTwoChoices, config.ModeRoundRobin, config.ModeShare}
 	for _, dep := range []string{"domaskra", "paranacor"} {
 		t.Run(dep, func(t *testing.T) {
 			t.Parallel()
 			run := load.Run{Deployment: dep, Mode: config.ModeOwner, Factor: 1.5, Span: 6 * time.Second, Leaving: 0.1}
-			owners, _ := measure(t, run)
+			owners, _ := measureRun(t, run)
 			for _, m := range baselines {
 				run.Mode = m
-				rep, _ := measure(t, run)
-				t.Logf("%s has %d in time, owners %d", m, rep.Good, owners.Good)
+				rep, _ := measureRun(t, run)
+				t.Logf("%s has %d answers in time, owners have %d", m, rep.Good, owners.Good)
 				if rep.Good >= owners.Good {
-					t.Errorf("%s is not behind", m)
+					t.Errorf("%s has as many answers in time as owners, or more", m)
 				}
 			}
 		})
--- a/proof/regions_cut_test.go
+++ b/proof/regions_cut_test.go
@@ -10,8 +10,8 @@
 	"github.com/embercove/embercove/result"
 )
 
-// cutRegion cuts a region off from the others, or heals that.
-func (s *scene) cutRegion(region int, cut bool) {
+// isolateRegion cuts a region off from the others, or heals the cut.
+func (s *harness) isolateRegion(region int, cut bool) {
 	for i := range regionCount * regionDomains {
 		for k := range regionCount * regionDomains {
 			if i%regionCount == region && k%regionCount != region {
@@ -21,67 +21,68 @@
 	}
 }
 
-// TestRegionsCut empties a region, cuts one of the others off, heals the cut and gives the
-// first its engines back. Callers get what the regions in reach have places for.
+// TestRegionsCut has all endpoints of a region leave, cuts another region off, heals the cut and
+// brings the endpoints back. In each phase, requests must be redirected to the reachable regions
+// with free capacity, so that callers of all regions get most of their answers in time.
 func TestRegionsCut(t *testing.T) {
 	const (
-		phase = 7 * time.Second
-		shown = 2500 * time.Millisecond // of a phase, by when what it began with has shown
+		phase   = 7 * time.Second
+		settled = 2500 * time.Millisecond // after which the change at the start of a phase has taken effect
 	)
 	phases := []struct {
-		name  string
-		least [regionCount]float64
+		name     string
+		minShare [regionCount]float64
 	}{
-		{"region 0 is emptied", [regionCount]float64{0.95, 0.95, 0.95}},
+		{"region 0 has no endpoints", [regionCount]float64{0.95, 0.95, 0.95}},
 		{"region 1 is cut off", [regionCount]float64{0.85, 0.95, 0.90}},
-		{"region 1 is back", [regionCount]float64{0.95, 0.95, 0.95}},
-		{"region 0 is back", [regionCount]float64{0.97, 0.97, 0.97}},
+		{"region 1 is reconnected", [regionCount]float64{0.95, 0.95, 0.95}},
+		{"region 0 has its endpoints back", [regionCount]float64{0.97, 0.97, 0.97}},
 	}
 	synctest.Test(t, func(t *testing.T) {
 		s := startRegions(t)
-		defer s.end()
+		defer s.shutDown()
 		time.Sleep(8 * time.Second)
 		go func() {
-			s.empty(0, 1)
+			s.setLeaving(0, 1)
 			time.Sleep(phase)
-			s.cutRegion(1, true)
+			s.isolateRegion(1, true)
 			time.Sleep(phase)
-			s.cutRegion(1, false)
+			s.isolateRegion(1, false)
 			time.Sleep(phase)
-			s.empty(0, 0)
+			s.setLeaving(0, 0)
 		}()
 		s.results = s.send(regionLoad(3, time.Duration(len(phases))*phase, [regionCount]float64{0.75, 0.75, 0.75}))
 		for i, p := range phases {
 			at := time.Duration(i) * phase
-			shares := sharesOf(s.results, at+shown, at+phase)
-			for k, r := range shares {
-				t.Logf("%s: region %d: %d of %d in time (%.3f)", p.name, k, r.good, r.sent, r.part())
-				if r.part() < p.least[k] {
-					t.Errorf("%s: %.3f of region %d in time, want %.3f", p.name, r.part(), k, p.least[k])
+			counts := countByRegion(s.results, at+settled, at+phase)
+			for k, r := range counts {
+				t.Logf("%s: region %d: %d of %d in time (%.3f)", p.name, k, r.good, r.sent, r.goodShare())
+				if r.goodShare() < p.minShare[k] {
+					t.Errorf("%s: %.3f of region %d in time, want at least %.3f", p.name, r.goodShare(), k, p.minShare[k])
 				}
 			}
 		}
-		s.tellRegions(t)
-		s.judge()
-		for _, b := range s.broken {
+		s.logRegions(t)
+		s.checkPromises()
+		for _, b := range s.violations {
 			t.Error(b)
 		}
 	})
 }
 
-// TestQuotaOfRegions has callers of three regions ask for three times a team's limit, and
-// checks that the regions together let in what the limit allows, one of them cut off
-// from the others as well.
+// TestQuotaOfRegions has callers in three regions send three times a team's quota. The regions
+// together must admit what the quota allows, neither each region the whole quota nor much less
+// than all of it, also while one of them is cut off from the others.
 func TestQuotaOfRegions(t *testing.T) {
 	const (
-		rate   = 6.0 // requests a second
+		rate   = 6.0 // requests per second
 		burst  = 6.0
 		span   = 24 * time.Second
 		window = 8 * time.Second
-		// most is what may run in a window: a quarter more than the rate and the burst.
-		most = (rate*8 + burst) * 1.25
-		// least is what has to: three of four, though each side of a cut keeps to its part.
-		least = rate * 8 * 0.75
+		// maxRuns bounds the requests run in a window: a quarter more than the rate and the burst allow.
+		maxRuns = (rate*8 + burst) * 1.25
+		// minRuns is three quarters of the rate, though each side of a cut uses only its own share.
+		minRuns = rate * 8 * 0.75
 	)
 	limited := func(d *config.Document) {
 		for i := range d.Teams {
@@ -98,14 +99,14 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := startRegions(t)
-				defer s.end()
+				defer s.shutDown()
 				if _, err := s.Publish(limited); err != nil {
 					t.Fatal(err)
 				}
 				time.Sleep(14 * time.Second)
 				go func() {
 					time.Sleep(window)
-					s.cutRegion(1, cut)
+					s.isolateRegion(1, cut)
 				}()
 				as := regionLoad(5, span, [regionCount]float64{0.4, 0.4, 0.4})
 				for i := range as {
@@ -113,19 +114,20 @@
 				}
 				s.results = s.send(as)
 				for at := time.Duration(0); at+window <= span; at += time.Second {
-					n := ranIn(s.results, at, at+window)
-					if float64(n) > most || float64(n) < least {
-						t.Errorf("%d ran in the %s from %s, of three times the limit; want %.0f to %.0f", n, window, at, least, most)
+					n := countRun(s.results, at, at+window)
+					if float64(n) > maxRuns || float64(n) < minRuns {
+						t.Errorf("%d ran in the %s from %s at three times the quota, want %.0f to %.0f",
+							n, window, at, minRuns, maxRuns)
 					}
 				}
-				s.tellRegions(t)
+				s.logRegions(t)
 			})
 		})
 	}
 }
 
-// ranIn counts the arrivals of a span that ran.
-func ranIn(rs []load.Result, from, to time.Duration) (n int) {
+// countRun counts the requests that arrived in an interval and ran.
+func countRun(rs []load.Result, from, to time.Duration) (n int) {
 	for _, r := range rs {
 		if r.At >= from && r.At < to && r.Code != result.TeamQuota && !r.NotRun {
 			n++
--- a/proof/regions_test.go
+++ b/proof/regions_test.go
@@ -14,19 +14,19 @@
 	"github.com/embercove/embercove/trial"
 )
 
-// Size of the deployment of TestRegions. A region's engines read some 34 prompts of its mix
-// a second.
+// Size of the deployment of TestRegions. A region's prefill engines process some 34 prompts of
+// its mix per second.
 const (
-	regionCount   = 3
-	regionDomains = 2 // of each region
-	regionHosts   = 30
-	regionReads   = 4 // prefill engines of each region
-	regionWrites  = 8
-	regionRate    = 16.0 // requests a second of a region's callers
-	regionTarget  = 900 * time.Millisecond
+	regionCount          = 3
+	regionDomains        = 2 // in each region
+	regionHosts          = 30
+	regionPrefillEngines = 4    // in each region
+	regionDecodeEngines  = 8    // in each region
+	regionRate           = 16.0 // requests per second of a region's callers
+	regionTarget         = 900 * time.Millisecond
 )
 
-// threeRegions makes a document of three regions with two failure domains each.
+// threeRegions changes a document to three regions with two failure domains each.
 func threeRegions(d *config.Document) {
 	runner := map[config.Role]config.Endpoint{}
 	for _, e := range d.Endpoints {
@@ -37,9 +37,9 @@
 	for i := range regionCount * regionDomains {
 		d.Domains = append(d.Domains, config.Domain{Name: regionDomain(i), Region: regionName(i), LinkBytesPerSecond: 4e9})
 	}
-	for i := range regionCount * (regionReads + regionWrites) {
+	for i := range regionCount * (regionPrefillEngines + regionDecodeEngines) {
 		role := config.Prefill
-		if i >= regionCount*regionReads {
+		if i >= regionCount*regionPrefillEngines {
 			role = config.Decode
 		}
 		e := runner[role]
@@ -54,7 +54,7 @@
 func regionDomain(i int) string { return fmt.Sprintf("domain-%d", i) }
 func regionName(i int) string   { return fmt.Sprintf("region-%d", i%regionCount) }
 
-// regionDelay is what a link between hosts takes one way.
+// regionDelay returns the one-way delay between two hosts.
 func regionDelay(from, to string) time.Duration {
 	var a, b int
 	if n, _ := fmt.Sscanf(from+" "+to, "domain-%d domain-%d", &a, &b); n < 2 || a == b {
@@ -66,12 +66,14 @@
 	return 8 * time.Millisecond
 }
 
-// startRegions starts hosts before three regions.
-func startRegions(t *testing.T) *scene {
+// startRegions starts a fleet in three regions.
+func startRegions(t *testing.T) *harness {
 	t.Helper()
-	s := &scene{t: t, net: fake.NewNetwork(), gone: map[int]bool{}}
+	s := &harness{t: t, net: fake.NewNetwork(), stopped: map[int]bool{}}
 	s.net.Delay = regionDelay
-	c, err := trial.Start(trial.Options{Document: examples.Domaskra, Hosts: regionHosts, Network: s.net, Change: threeRegions, Fatal: s.fail})
+	c, err := trial.Start(trial.Options{
+		Document: examples.Domaskra, Hosts: regionHosts, Network: s.net, Change: threeRegions, Fatal: s.fail,
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -79,11 +81,11 @@
 	return s
 }
 
-// regionLoad returns arrivals at the hosts of each region, at so many times the usual rate.
-func regionLoad(seed uint64, span time.Duration, times [regionCount]float64) (out []load.Arrival) {
+// regionLoad returns arrivals at the hosts of each region; factors are multiples of regionRate.
+func regionLoad(seed uint64, span time.Duration, factors [regionCount]float64) (out []load.Arrival) {
 	mix := load.Mixes["domaskra"]
 	mix.Kinds = []load.Kind{{Name: "question", Share: 1, Team: []string{"press", "public"}, Least: 1000, Most: 6000, MaxTokens: 40}}
-	for region, x := range times {
+	for region, x := range factors {
 		as := mix.Arrivals(seed+uint64(region), x*regionRate, span, 0)
 		for i := range as {
 			as[i].Host = region + regionCount*(as[i].Host%(regionHosts/regionCount))
@@ -95,13 +97,13 @@
 	return out
 }
 
-// regionShare is what the callers of a region got.
-type regionShare struct{ sent, good int }
+// regionCounts counts requests of a region's callers, and those that were answered right and in time.
+type regionCounts struct{ sent, good int }
 
-func (r regionShare) part() float64 { return float64(r.good) / float64(max(1, r.sent)) }
+func (r regionCounts) goodShare() float64 { return float64(r.good) / float64(max(1, r.sent)) }
 
-// sharesOf counts by region the answers that were right and in time, of arrivals in a span.
-func sharesOf(rs []load.Result, from, to time.Duration) (out [regionCount]regionShare) {
+// countByRegion counts, by region, the requests that arrived in an interval and their good answers.
+func countByRegion(rs []load.Result, from, to time.Duration) (out [regionCount]regionCounts) {
 	for _, r := range rs {
 		if r.At < from || r.At >= to {
 			continue
@@ -115,60 +117,63 @@
 	return out
 }
 
-// between returns how many runs an engine of one region had for callers of others.
-func (s *scene) between() (left uint64) {
+// crossRegionRuns returns how many requests ran in another region than their callers'.
+func (s *harness) crossRegionRuns() (runs uint64) {
 	for _, n := range s.Nodes {
 		for i := range regionCount {
-			left += n.Board.Regions.Left(config.NameNumber(regionName(i)))
+			runs += n.Board.Regions.Left(config.NameNumber(regionName(i)))
 		}
 	}
-	return left
+	return runs
 }
 
-// TestRegions has one of three regions lack places while the others have some, and checks
-// that its callers get nearly what those of the others get, and that those don't pay.
+// TestRegions leaves one of three regions short of capacity while the others have some. Its
+// requests must be redirected, so that its callers get nearly as many answers in time as those of
+// the other regions, which must not suffer from it.
 func TestRegions(t *testing.T) {
 	const (
-		span = 14 * time.Second
-		from = 4 * time.Second // what befalls a region has shown by then
-		near = 0.05            // of the best region
+		span      = 14 * time.Second
+		from      = 4 * time.Second // the change to the region has taken effect by then
+		tolerance = 0.05            // below the best region
 	)
 	cases := []struct {
-		name  string
-		times [regionCount]float64
-		befal func(s *scene)
-		least float64 // of the callers of any region
+		name     string
+		factors  [regionCount]float64
+		inject   func(s *harness)
+		minShare float64 // in time, of the requests of each region
 	}{
-		{"as usual", [regionCount]float64{1, 1, 1}, func(*scene) {}, 0.97},
-		{"three times the load", [regionCount]float64{3, 1, 1}, func(*scene) {}, 0.93},
-		{"half of the engines gone", [regionCount]float64{1.6, 1, 1}, func(s *scene) { s.empty(0, 2) }, 0.93},
-		{"emptied", [regionCount]float64{1, 1, 1}, func(s *scene) { s.empty(0, 1) }, 0.93},
+		{"as usual", [regionCount]float64{1, 1, 1}, func(*harness) {}, 0.97},
+		{"three times the load", [regionCount]float64{3, 1, 1}, func(*harness) {}, 0.93},
+		{"half of the engines gone", [regionCount]float64{1.6, 1, 1}, func(s *harness) { s.setLeaving(0, 2) }, 0.93},
+		{"emptied", [regionCount]float64{1, 1, 1}, func(s *harness) { s.setLeaving(0, 1) }, 0.93},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := startRegions(t)
-				defer s.end()
+				defer s.shutDown()
 				time.Sleep(8 * time.Second)
-				before := s.regionBytes()
-				tc.befal(s)
-				s.results = s.send(regionLoad(7, span, tc.times))
-				bytes := float64(s.regionBytes()-before) / span.Seconds() / regionHosts
-				shares := sharesOf(s.results, from, span)
+				before := s.peerBytes()
+				tc.inject(s)
+				s.results = s.send(regionLoad(7, span, tc.factors))
+				bytes := float64(s.peerBytes()-before) / span.Seconds() / regionHosts
+				counts := countByRegion(s.results, from, span)
 				best := 0.0
-				for i, r := range shares {
-					t.Logf("region %d: %d of %d in time (%.3f)", i, r.good, r.sent, r.part())
-					best = max(best, r.part())
+				for i, r := range counts {
+					t.Logf("region %d: %d of %d in time (%.3f)", i, r.good, r.sent, r.goodShare())
+					best = max(best, r.goodShare())
 				}
-				t.Logf("%d requests left their region; control with peers %.0f B/s on each host", s.between(), bytes)
-				s.tellRegions(t)
-				for i, r := range shares {
-					if r.part() < tc.least || r.part() < best-near {
-						t.Errorf("region %d: %.3f in time, want %.3f and %.3f of the best at the least", i, r.part(), tc.least, best-near)
+				t.Logf("%d requests ran in another region; control traffic with peers: %.0f B/s on each host",
+					s.crossRegionRuns(), bytes)
+				s.logRegions(t)
+				for i, r := range counts {
+					if r.goodShare() < tc.minShare || r.goodShare() < best-tolerance {
+						t.Errorf("region %d: %.3f in time, want at least %.3f, and %.3f by the best region",
+							i, r.goodShare(), tc.minShare, best-tolerance)
 					}
 				}
-				s.judge()
-				for _, b := range s.broken {
+				s.checkPromises()
+				for _, b := range s.violations {
 					t.Error(b)
 				}
 			})
@@ -176,15 +181,15 @@
 	}
 }
 
-// regionBytes adds up the hosts' traffic with peers.
-func (s *scene) regionBytes() uint64 {
-	peers, _, _ := s.control()
+// peerBytes adds up the bytes of all hosts' traffic with peers.
+func (s *harness) peerBytes() uint64 {
+	peers, _, _ := s.controlTraffic()
 	return peers
 }
 
-// empty has one in n of a region's endpoints leave, and the others stay or come back; of
-// 0 none leaves.
-func (s *scene) empty(region, n int) {
+// setLeaving has one in n of a region's endpoints leave and the others stay or come back; if n is
+// 0, none leaves.
+func (s *harness) setLeaving(region, n int) {
 	if _, err := s.Publish(func(d *config.Document) {
 		for i := range d.Endpoints {
 			if i%regionCount == region {
@@ -196,8 +201,8 @@
 	}
 }
 
-// tellRegions logs how requests ended, and why requests stayed in their region.
-func (s *scene) tellRegions(t *testing.T) {
+// logRegions logs how requests ended, by region, and why they stayed in their region.
+func (s *harness) logRegions(t *testing.T) {
 	codes := [regionCount]map[string]int{}
 	for i := range codes {
 		codes[i] = map[string]int{}
@@ -209,13 +214,13 @@
 		}
 		codes[r.Host%regionCount][name]++
 	}
-	kept := map[string]uint64{}
+	stayed := map[string]uint64{}
 	for _, n := range s.Nodes {
 		for v, c := range n.Board.Regions.Kept() {
 			if c > 0 {
-				kept[region.Verdict(v).String()] += c
+				stayed[region.Verdict(v).String()] += c
 			}
 		}
 	}
-	t.Logf("ends %v; stayed %v", codes, kept)
+	t.Logf("outcomes by region: %v; reasons to stay in the region: %v", codes, stayed)
 }
--- a/proof/scene_test.go
+++ b/proof/scene_test.go
@@ -19,21 +19,21 @@
 	"github.com/embercove/embercove/trial"
 )
 
-// scene is a deployment in virtual time with load and what befalls it.
-type scene struct {
+// harness runs a deployment in virtual time, sends load and collects violations.
+type harness struct {
 	t *testing.T
 	*trial.Cluster
 	net     *fake.Network
 	results []load.Result
 	span    time.Duration
 
-	mu     sync.Mutex
-	broken []string     // promises found broken
-	gone   map[int]bool // hosts that were killed: their callers see broken connections
-	down   map[int]bool // of these, not restarted yet
+	mu         sync.Mutex
+	violations []string     // broken promises and invariants
+	stopped    map[int]bool // hosts that were ever killed or stopped: their callers may see broken connections
+	down       map[int]bool // hosts that were killed and not restarted yet
 }
 
-// options of a scene.
+// options of a scenario; zero hosts, rate and span take the defaults.
 type options struct {
 	hosts  int
 	rate   float64
@@ -44,24 +44,25 @@
 }
 
 const (
-	sceneHosts = 6
-	sceneRate  = 22
-	sceneSpan  = 8 * time.Second
-	// settleTime is what the system may take to come to rest: suspicion of a
-	// host, grace, and claims on what is left.
+	defaultHosts = 6
+	defaultRate  = 22
+	defaultSpan  = 8 * time.Second
+	// settleTime bounds how long attempts may hold memory after the load: a lost
+	// host has to be suspected, the grace has to pass, and the remaining attempts
+	// are then checked with their holders.
 	settleTime = 25 * time.Second
 )
 
-// played is what became of a scene.
-type played struct {
-	broken     []string
+// outcome is the result of a scenario.
+type outcome struct {
+	violations []string
 	good, sent int
 	codes      map[result.Code]int
 	results    []load.Result
 }
 
-// isRefusedConnection reports whether a broken promise is only that nothing
-// listened at a host's address, so that its caller got nothing at all.
+// isRefusedConnection reports whether a violation says only that a host refused the
+// connection, so that its caller got no answer at all. The text is that of load.Judge.
 func isRefusedConnection(b string) bool {
 	return strings.Contains(b, "no numbered answer after 0s and 0 tokens")
 }
@@ -70,29 +71,31 @@
 	sort.SliceStable(as, func(i, j int) bool { return as[i].At < as[j].At })
 }
 
-// play runs f beside the load in a bubble of virtual time.
-func play(t *testing.T, o options, f func(s *scene)) played {
+// runScenario runs f while load is sent, in virtual time, and then checks the promises to callers.
+func runScenario(t *testing.T, o options, f func(s *harness)) outcome {
 	t.Helper()
-	var out played
+	var out outcome
 	synctest.Test(t, func(t *testing.T) {
-		s := &scene{t: t, net: fake.NewNetwork(), gone: map[int]bool{}, span: o.span}
+		s := &harness{t: t, net: fake.NewNetwork(), stopped: map[int]bool{}, span: o.span}
 		if s.span == 0 {
-			s.span = sceneSpan
+			s.span = defaultSpan
 		}
 		if o.hosts == 0 {
-			o.hosts = sceneHosts
+			o.hosts = defaultHosts
 		}
 		if o.rate == 0 {
-			o.rate = sceneRate
+			o.rate = defaultRate
 		}
-		c, err := trial.Start(trial.Options{Document: examples.Domaskra, Hosts: o.hosts, Network: s.net, Change: o.change, Fatal: s.fail})
+		c, err := trial.Start(trial.Options{
+			Document: examples.Domaskra, Hosts: o.hosts, Network: s.net, Change: o.change, Fatal: s.fail,
+		})
 		if err != nil {
 			t.Fatal(err)
 		}
 		s.Cluster = c
 		defer func() {
 			c.Stop()
-			time.Sleep(time.Minute) // whatever still waits comes to its end
+			time.Sleep(time.Minute) // until all pending timers and calls have ended
 		}()
 		done := make(chan struct{})
 		go func() {
@@ -105,8 +108,11 @@
 		}
 		s.results = s.send(as)
 		<-done
-		s.judge()
-		out = played{broken: s.broken, good: s.good(), sent: len(s.results), results: s.results, codes: map[result.Code]int{}}
+		s.checkPromises()
+		out = outcome{
+			violations: s.violations, good: s.good(), sent: len(s.results), results: s.results,
+			codes: map[result.Code]int{},
+		}
 		for _, r := range s.results {
 			out.codes[r.Code]++
 		}
@@ -114,15 +120,15 @@
 	return out
 }
 
-// fail notes a broken promise.
-func (s *scene) fail(msg string) {
+// fail records a violation.
+func (s *harness) fail(msg string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.broken = append(s.broken, msg)
+	s.violations = append(s.violations, msg)
 }
 
-// arrivals are Dómaskrá's mix: a third may not be repeated; a sixth of the
-// callers leave, in every phase of their request.
+// arrivals returns Dómaskrá's mix. A third of the requests may not be repeated; a sixth
+// of the callers leave within 3 s, so that some do in every phase of their request.
 func arrivals(seed uint64, rate float64, span time.Duration) []load.Arrival {
 	as := load.Mixes["domaskra"].Arrivals(seed, rate, span, 0)
 	r := rand.New(rand.NewPCG(seed, 2))
@@ -135,32 +141,33 @@
 	return as
 }
 
-func (s *scene) send(as []load.Arrival) []load.Result {
+func (s *harness) send(as []load.Arrival) []load.Result {
 	sender := load.Sender{Addresses: s.Callers(), Dial: s.ClientDial("callers"), Model: load.Mixes["domaskra"].Model}
 	return sender.Send(context.Background(), as)
 }
 
-// host returns which host an arrival went to.
-func (s *scene) host(a load.Arrival) int { return a.Host % len(s.Nodes) }
+// hostOf returns the index of the host that an arrival is sent to.
+func (s *harness) hostOf(a load.Arrival) int { return a.Host % len(s.Nodes) }
 
 // kill stops a host at once, as a crash does.
-func (s *scene) kill(i int) {
+func (s *harness) kill(i int) {
 	s.mu.Lock()
-	s.gone[i] = true
+	s.stopped[i] = true
 	s.mu.Unlock()
 	s.Nodes[i].Stop()
 }
 
-// faults sets the same faults at every runner.
-func (s *scene) faults(f fake.Faults) {
+// setFaults sets the same faults at every runner.
+func (s *harness) setFaults(f fake.Faults) {
 	for _, r := range s.Runners {
 		r.SetFaults(f)
 	}
 }
 
-// judge looks for broken promises once the load is over.
-func (s *scene) judge() {
-	for _, b := range load.Judge(s.results, s.Truth(), func(a load.Arrival) bool { return s.gone[s.host(a)] }) {
+// checkPromises records the promises to callers that were broken and, after settleTime at the latest,
+// memory or requests that are still held. It is called once the load is over.
+func (s *harness) checkPromises() {
+	for _, b := range load.Judge(s.results, s.Truth(), func(a load.Arrival) bool { return s.stopped[s.hostOf(a)] }) {
 		s.fail(b)
 	}
 	deadline := time.Now().Add(settleTime)
@@ -168,26 +175,26 @@
 		time.Sleep(100 * time.Millisecond)
 	}
 	if n := s.Held(); n > 0 {
-		s.fail(fmt.Sprintf("%d attempts still hold memory after %s", n, settleTime))
+		s.fail(fmt.Sprintf("%d attempts still hold memory %s after the load", n, settleTime))
 	}
 	for i, n := range s.Nodes {
-		if left := n.Board.Requests.Len(); left > 0 && !s.gone[i] {
+		if left := n.Board.Requests.Len(); left > 0 && !s.stopped[i] {
 			s.fail(fmt.Sprintf("host %d still has %d requests in progress", i, left))
 		}
 	}
 }
 
-// good counts the answers that were whole and right.
-func (s *scene) good() int {
-	return answered(s.results)
+// good counts the answers that were complete and right.
+func (s *harness) good() int {
+	return countCorrect(s.results)
 }
 
-// report fails the test with what was broken, or if nothing was answered.
-func (p played) report(t *testing.T) {
+// report fails the test with the violations, or if nothing was answered.
+func (p outcome) report(t *testing.T) {
 	t.Helper()
-	for i, b := range p.broken {
+	for i, b := range p.violations {
 		if i == 12 {
-			t.Errorf("and %d more", len(p.broken)-i)
+			t.Errorf("and %d more", len(p.violations)-i)
 			break
 		}
 		t.Error(b)
@@ -195,5 +202,5 @@
 	if p.sent > 0 && p.good == 0 {
 		t.Error("nothing was answered")
 	}
-	t.Logf("%d of %d answered whole, codes %v", p.good, p.sent, p.codes)
+	t.Logf("%d of %d answered completely, codes %v", p.good, p.sent, p.codes)
 }
