--- a/blackboard/cold_test.go
+++ b/blackboard/cold_test.go
@@ -102,7 +102,7 @@
 				b.Endpoints.Fit(b.Config.View())
 			}
 			cold := func(in time.Duration) (is bool) {
-				b.Endpoints.Find(route.Number("e"), func(_ *config.View, s *route.State) { is = s.Cold(time.Now().Add(in)) })
+				b.Endpoints.Find(route.Number("e"), func(_ *config.View, s *route.State) { is = s.IsCold(time.Now().Add(in)) })
 				return is
 			}
 			fit(1)
--- a/blackboard/endpoints.go
+++ b/blackboard/endpoints.go
@@ -22,7 +22,7 @@
 func (t *EndpointTable) Fit(v *config.View) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.fleet.Fit(v, time.Now())
+	t.fleet.SetView(v, time.Now())
 }
 
 // Learn stores a digest, whose AgeMillis is its age on arrival, unless a fresher one is known.
@@ -30,7 +30,7 @@
 func (t *EndpointTable) Learn(d route.Digest, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.fleet.Learn(d, now)
+	return t.fleet.UpdateDigest(d, now)
 }
 
 // Read calls f with the fleet. f must not keep or change its states, and may run concurrently.
@@ -66,7 +66,7 @@
 		c = s.Limit.Hear(now, w)
 		s.LimitedUntil = time.Now().Add(s.Limit.Fresh(now))
 		if c == pace.ChangeEnded {
-			s.NoStart, s.Back = time.Time{}, time.Time{}
+			s.NoPermitUntil, s.RetryAt = time.Time{}, time.Time{}
 		}
 	})
 	return c
@@ -76,7 +76,7 @@
 func (t *EndpointTable) Notice(number uint32, n route.Notice) (c route.NoticeChange) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.fleet.Hear(number, n)
+	return t.fleet.ObserveNotice(number, n)
 }
 
 // Admit reports whether a call may be made to an endpoint, considering the backoff that it asked
@@ -99,7 +99,7 @@
 func (t *EndpointTable) SetOwn(number uint32, own bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.fleet.SetOwn(number, own)
+	t.fleet.SetOwned(number, own)
 }
 
 // Wanted selects digests.
@@ -117,13 +117,13 @@
 	defer t.mu.RUnlock()
 	states := t.fleet.All()
 	if w.Domain != "" {
-		states = t.fleet.In(w.Domain)
+		states = t.fleet.InFailureDomain(w.Domain)
 	}
 	var drawn []*route.State
 	seen := 0
 	for s := range states {
-		age := now.Sub(s.At)
-		if s.At.IsZero() || age > w.MaxAge || !w.Lacking(s.Number, uint32(age.Milliseconds())) {
+		age := now.Sub(s.DigestAt)
+		if s.DigestAt.IsZero() || age > w.MaxAge || !w.Lacking(s.Number, uint32(age.Milliseconds())) {
 			continue
 		}
 		seen++
@@ -136,7 +136,7 @@
 	out := make([]route.Digest, len(drawn))
 	for i, s := range drawn {
 		out[i] = s.Digest
-		out[i].AgeMillis = uint32(now.Sub(s.At).Milliseconds())
+		out[i].AgeMillis = uint32(now.Sub(s.DigestAt).Milliseconds())
 	}
 	return out
 }
@@ -145,5 +145,5 @@
 func (t *EndpointTable) Drop() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.fleet.Drop()
+	t.fleet.DropDigests()
 }
--- a/blackboard/regions.go
+++ b/blackboard/regions.go
@@ -16,7 +16,7 @@
 	sent          map[regionPool]int // requests sent since the time of the summary
 	roundTrips    map[uint32]time.Duration
 	redirected    map[uint32]uint64 // requests redirected to a region, since the start
-	notRedirected [region.Verdicts]uint64
+	notRedirected [region.VerdictCount]uint64
 	avoidUntil    map[uint32]time.Time // until when a region is avoided, after an owner there didn't answer
 }
 
@@ -73,7 +73,7 @@
 }
 
 // Find returns the known state of a region's pool.
-func (t *RegionTable) Find(number, pool uint32, now time.Time) (out region.There) {
+func (t *RegionTable) Find(number, pool uint32, now time.Time) (out region.RemoteRegion) {
 	k := regionPool{number, pool}
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -149,7 +149,7 @@
 }
 
 // Kept returns the number of requests that were not redirected, by verdict.
-func (t *RegionTable) Kept() [region.Verdicts]uint64 {
+func (t *RegionTable) Kept() [region.VerdictCount]uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.notRedirected
--- a/blackboard/regions_test.go
+++ b/blackboard/regions_test.go
@@ -15,18 +15,18 @@
 	const sent = 3
 	now := time.Now()
 	table := newRegionTable()
-	table.Learn(region.Summary{Region: 1, Pool: 2, Places: 5, AgeMillis: 1000}, now)
+	table.Learn(region.Summary{Region: 1, Pool: 2, Capacity: 5, AgeMillis: 1000}, now)
 	for range sent {
 		table.Leave(1, 2)
 	}
 	for hop := range 100 {
-		table.Learn(region.Summary{Region: 1, Pool: 2, Places: 5, AgeMillis: 1000}, now.Add(time.Duration(hop%2+1)*20*time.Millisecond))
+		table.Learn(region.Summary{Region: 1, Pool: 2, Capacity: 5, AgeMillis: 1000}, now.Add(time.Duration(hop%2+1)*20*time.Millisecond))
 	}
 	if got := table.Find(1, 2, now); got.Sent != sent || got.Age != time.Second {
 		t.Errorf("forwarded again: %d sent since a summary of age %v, want %d and 1s", got.Sent, got.Age, sent)
 	}
-	table.Learn(region.Summary{Region: 1, Pool: 2, Places: 4, AgeMillis: 1000}, now.Add(time.Second))
-	if got := table.Find(1, 2, now); got.Sent != 0 || got.Places != 4 {
+	table.Learn(region.Summary{Region: 1, Pool: 2, Capacity: 4, AgeMillis: 1000}, now.Add(time.Second))
+	if got := table.Find(1, 2, now); got.Sent != 0 || got.Capacity != 4 {
 		t.Errorf("a new summary: %+v", got)
 	}
 }
--- a/copies/copies.go
+++ b/copies/copies.go
@@ -27,51 +27,51 @@
 	MinPoolFree float64
 }
 
-// Standing is the default policy.
-var Standing = Policy{MinRisk: 0.1, MinPoolFree: 0.6}
+// DefaultPolicy is the default policy.
+var DefaultPolicy = Policy{MinRisk: 0.1, MinPoolFree: 0.6}
 
 // Run is a request whose decode is about to start.
 type Run struct {
-	Again  bool         // the request is repeatable
-	Tokens int          // of the prompt
-	Answer int          // expected tokens
-	Engine *route.State // the decode engine
+	Repeatable   bool         // the request is repeatable
+	PromptTokens int          // of the prompt
+	AnswerTokens int          // expected tokens
+	Engine       *route.State // the decode engine
 }
 
 // Wants reports whether a request gets a replica, by the risk that it loses its engine.
 func (p Policy) Wants(r Run, risk float64) bool {
-	return (p.Repeatable || !r.Again) && risk >= p.MinRisk
+	return (p.Repeatable || !r.Repeatable) && risk >= p.MinRisk
 }
 
 // End describes how a call to the decode engine ended, as far as it decides whether the request
 // continues from its replica.
 type End struct {
-	Copied     bool // another engine was chosen to keep a replica
-	CallerGone bool
-	MayHaveRun bool // else the request can be routed again, and nothing is lost
-	Works      bool // the engine may still run it: it neither ended it nor is unreachable
+	Replicated  bool // another engine was chosen to keep a replica
+	CallerGone  bool
+	MayHaveRun  bool // else the request can be routed again, and nothing is lost
+	MayStillRun bool // the engine may still run it: it neither ended it nor is unreachable
 	// How long decode has run. Before a first part of the replica can have arrived there is
 	// nothing to continue from, and an engine that loses the request before it looks for the replica
 	// counts as having run it a second time.
-	Grown time.Duration
+	DecodeTime time.Duration
 }
 
 // firstPartDelay is how long decode runs until the first part of the KV cache has reached the engine
 // that keeps the replica. Parts are sent a few times per second.
 const firstPartDelay = 250 * time.Millisecond
 
-// GoesOn reports whether the request may continue from its replica. It may not while the first engine
+// CanContinue reports whether the request may continue from its replica. It may not while the first engine
 // may still run it, because it would run twice at the same time.
-func (e End) GoesOn() bool {
-	return e.Copied && !e.CallerGone && e.MayHaveRun && !e.Works && e.Grown >= firstPartDelay
+func (e End) CanContinue() bool {
+	return e.Replicated && !e.CallerGone && e.MayHaveRun && !e.MayStillRun && e.DecodeTime >= firstPartDelay
 }
 
-// Affords reports whether the engines in the decode engine's region have enough free memory to start
+// HasFreeMemory reports whether the engines in the decode engine's region have enough free memory to start
 // a replica.
-func (p Policy) Affords(list []*route.State, engine *route.State) bool {
+func (p Policy) HasFreeMemory(list []*route.State, engine *route.State) bool {
 	free, total := 0, 0
 	for _, s := range list {
-		if s.Region == engine.Region && !s.At.IsZero() && s.Digest.Flags&route.FlagDown == 0 {
+		if s.Region == engine.Region && !s.DigestAt.IsZero() && s.Digest.Flags&route.FlagDown == 0 {
 			free += max(0, int(s.Digest.FreeTokens))
 			total += s.Spec.MemoryTokens
 		}
@@ -79,10 +79,10 @@
 	return float64(free) >= p.MinPoolFree*float64(total)
 }
 
-// Chance returns the risk that a request loses its engine, between 0 and 1: the larger of the
+// FailureRisk returns the risk that a request loses its engine, between 0 and 1: the larger of the
 // engine's recent failure rate and the mean over the pool's endpoints. Endpoints that their owners
 // can't reach count as 1: an engine that goes down loses all its requests, and others often follow.
-func Chance(list []*route.State, engine *route.State, now time.Time) float64 {
+func FailureRisk(list []*route.State, engine *route.State, now time.Time) float64 {
 	if len(list) == 0 {
 		return 0
 	}
@@ -94,10 +94,10 @@
 }
 
 func failureRate(s *route.State, now time.Time) float64 {
-	if s.Digest.Flags&route.FlagDown != 0 || now.Before(s.CutOff) {
+	if s.Digest.Flags&route.FlagDown != 0 || now.Before(s.CutOffUntil) {
 		return 1
 	}
-	return max(float64(s.Digest.FailPct)/100, s.Seen.Failing(now))
+	return max(float64(s.Digest.FailPct)/100, s.Calls.FailureRate(now))
 }
 
 // reservedShare is the share of an engine's memory that stays free beside a replica, so that replicas
@@ -105,8 +105,8 @@
 // engines that hold nine.
 const reservedShare = 0.2
 
-// Spare returns how many tokens stay free beside a replica at an endpoint.
-func Spare(e *config.Endpoint) int { return int(reservedShare * float64(e.MemoryTokens)) }
+// ReservedTokens returns how many tokens stay free beside a replica at an endpoint.
+func ReservedTokens(e *config.Endpoint) int { return int(reservedShare * float64(e.MemoryTokens)) }
 
 // Costs of an engine for a replica, in shares of its memory.
 const (
@@ -115,15 +115,15 @@
 	costOtherOwner = 0.1 // owned by another host: one more message
 )
 
-// Place returns the endpoint that should keep a replica of a request's KV cache; nil: no eligible one
+// SelectEndpoint returns the endpoint that should keep a replica of a request's KV cache; nil: no eligible one
 // has capacity for it with the reserved share left. It is in the decode engine's region, because a
 // transfer between regions takes ten times as long. Endpoints that are excluded for the request are
 // excluded for its replica too.
-func Place(list []*route.State, r *route.Request, run Run) (best *route.State) {
+func SelectEndpoint(list []*route.State, r *route.Request, run Run) (best *route.State) {
 	minCost := 0.0
 	source := run.Engine
 	for _, s := range list {
-		if s == source || s.Region != source.Region || !route.Open(s, r) || !s.Spec.Serves(r.Model) || !hasCapacity(s, r, run) {
+		if s == source || s.Region != source.Region || !route.Eligible(s, r) || !s.Spec.Serves(r.Model) || !hasCapacity(s, r, run) {
 			continue
 		}
 		if cost := replicaCost(s, source, r.Now); best == nil || cost < minCost {
@@ -136,10 +136,10 @@
 // hasCapacity reports whether an endpoint is known to have memory for a replica and can take one more
 // request if the answer continues there. One that is cold or names a limit may not be able to.
 func hasCapacity(s *route.State, r *route.Request, run Run) bool {
-	if s.At.IsZero() || s.Cold(r.Now) || s.Limited(r.Now) || s.Digest.WaitMillis > 0 || s.Seen.Shunned(r.Now) || r.Now.Before(s.Seen.Full) {
+	if s.DigestAt.IsZero() || s.IsCold(r.Now) || s.IsLimited(r.Now) || s.Digest.WaitMillis > 0 || s.Calls.IsUnreachable(r.Now) || r.Now.Before(s.Calls.FullUntil) {
 		return false
 	}
-	return int(s.Digest.FreeTokens) >= run.Tokens+run.Answer+Spare(s.Spec)
+	return int(s.Digest.FreeTokens) >= run.PromptTokens+run.AnswerTokens+ReservedTokens(s.Spec)
 }
 
 func replicaCost(s, source *route.State, now time.Time) float64 {
@@ -148,7 +148,7 @@
 	if s.Domain == source.Domain {
 		cost += costSameDomain
 	}
-	if !s.Own {
+	if !s.Owned {
 		cost += costOtherOwner
 	}
 	return cost
--- a/copies/copies_test.go
+++ b/copies/copies_test.go
@@ -33,7 +33,7 @@
 	var states []*route.State
 	for i := range roster.Endpoints {
 		states = append(states, f.Find(route.Number(roster.Endpoints[i].Name)))
-		states[i].At, states[i].Digest.FreeTokens, states[i].Digest.FreeSlots = now, 10_000, 8
+		states[i].DigestAt, states[i].Digest.FreeTokens, states[i].Digest.FreeSlots = now, 10_000, 8
 	}
 	all := v.RegionSet("r")
 	return v, states, &route.Request{Model: "m", Tokens: 1000, Region: all, Now: now}
@@ -53,19 +53,19 @@
 		{"not at a cold engine", func(s []*route.State) {
 			cold := *s[2].Spec
 			cold.ColdPerSecond = 21
-			s[2].Spec, s[2].ColdUntil = &cold, s[2].At.Add(time.Minute)
+			s[2].Spec, s[2].ColdUntil = &cold, s[2].DigestAt.Add(time.Minute)
 		}, 1},
 		{"not at a leaving engine", func(s []*route.State) { s[2].Leaving = true }, 1},
-		{"not at an engine without a digest", func(s []*route.State) { s[2].At = time.Time{} }, 1},
+		{"not at an engine without a digest", func(s []*route.State) { s[2].DigestAt = time.Time{} }, 1},
 		{"not where requests queue", func(s []*route.State) { s[2].Digest.WaitMillis = 100 }, 1},
 		{"not at a failing engine", func(s []*route.State) { s[2].Digest.FailPct = 90 }, 1},
-		{"not at an engine that was just unreachable", func(s []*route.State) { s[2].Seen.Note(s[2].At, route.SightGone, 0) }, 1},
+		{"not at an engine that was just unreachable", func(s []*route.State) { s[2].Calls.Record(s[2].DigestAt, route.OutcomeUnreachable, 0) }, 1},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			_, states, r := fleet(t, "a", "a", "b", "c")
 			tc.change(states)
-			selected := Place(states, r, Run{Tokens: 1000, Answer: 500, Engine: states[0]})
+			selected := SelectEndpoint(states, r, Run{PromptTokens: 1000, AnswerTokens: 500, Engine: states[0]})
 			if got := slices.Index(states, selected); got != tc.want {
 				t.Errorf("engine %d, want %d", got, tc.want)
 			}
@@ -94,7 +94,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			_, states, r := fleet(t, "a", "a", "b", "b")
 			tc.change(states)
-			if got := tc.policy.Wants(Run{Again: tc.again}, Chance(states, states[0], r.Now)); got != tc.want {
+			if got := tc.policy.Wants(Run{Repeatable: tc.again}, FailureRisk(states, states[0], r.Now)); got != tc.want {
 				t.Errorf("wants a replica: %v, want %v", got, tc.want)
 			}
 		})
@@ -124,7 +124,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			_, states, _ := fleet(t, "a", "a", "b", "c")
 			tc.change(states)
-			if got := (Policy{MinPoolFree: 0.4}).Affords(states, states[0]); got != tc.want {
+			if got := (Policy{MinPoolFree: 0.4}).HasFreeMemory(states, states[0]); got != tc.want {
 				t.Errorf("%v, want %v", got, tc.want)
 			}
 		})
@@ -134,7 +134,7 @@
 // TestQuiet checks how long an engine may be silent before it is probed.
 func TestQuiet(t *testing.T) {
 	for pause, want := range map[time.Duration]time.Duration{0: minSilence, 50 * time.Millisecond: 150 * time.Millisecond, time.Hour: maxSilence} {
-		if got := Quiet(pause); got != want {
+		if got := SilenceLimit(pause); got != want {
 			t.Errorf("%s after pauses of %s, want %s", got, pause, want)
 		}
 	}
--- a/copies/model_test.go
+++ b/copies/model_test.go
@@ -67,7 +67,7 @@
 
 // continueAtReplica is what the entry host does after it has abandoned the first engine.
 func (w *world) continueAtReplica(mayRun bool) {
-	if !(End{Copied: true, CallerGone: w.callerGone, MayHaveRun: true, Works: mayRun, Grown: firstPartDelay}).GoesOn() {
+	if !(End{Replicated: true, CallerGone: w.callerGone, MayHaveRun: true, MayStillRun: mayRun, DecodeTime: firstPartDelay}).CanContinue() {
 		w.done = true
 		return
 	}
--- a/entry/away.go
+++ b/entry/away.go
@@ -70,7 +70,7 @@
 
 // localRegions returns the regions that the job uses without being redirected: its own and,
 // if that isn't an allowed region, the allowed ones.
-func (j *job) localRegions() config.Regions { return j.localRegion() | j.criteria.Reach }
+func (j *job) localRegions() config.Regions { return j.localRegion() | j.criteria.RemoteRegions }
 
 // candidate is another region with the data that the redirect decision needs.
 type candidate struct {
@@ -78,7 +78,7 @@
 	set   config.Regions
 	pool  uint32
 	hosts int // live hosts in the region
-	region.There
+	region.RemoteRegion
 }
 
 // redirectJob chooses a region for a job and makes it look for endpoints there. Regions in
@@ -88,9 +88,9 @@
 	if len(found) == 0 {
 		return false
 	}
-	capacities := make([]region.There, len(found))
+	capacities := make([]region.RemoteRegion, len(found))
 	for i := range found {
-		capacities[i] = found[i].There
+		capacities[i] = found[i].RemoteRegion
 	}
 	to, verdicts := region.Choose(n, capacities, rand.Float64(), rand.Float64())
 	j.regionLog = describeChoice(found, verdicts, to)
@@ -126,7 +126,7 @@
 			return
 		}
 		r := j.criteria
-		r.Region, r.Now, r.Reach = j.localRegion(), now, 0
+		r.Region, r.Now, r.RemoteRegions = j.localRegion(), now, 0
 		e.bindRegions(v, j, &r)
 		found = candidates(e.board, v, list(g), r, hosts, trips, tried)
 	})
@@ -161,16 +161,16 @@
 	if len(v.RegionNames) < 2 {
 		return nil
 	}
-	n := region.Need{Left: time.Duration(targetShare * float64(v.Doc.Targets.TTFT())), Work: engineWork(v, r.Group, r.Tokens, r.Model)}
+	n := region.Need{TimeLeft: time.Duration(targetShare * float64(v.Doc.Targets.TTFT())), Work: engineWork(v, r.Group, r.Tokens, r.Model)}
 	for _, c := range candidates(b, v, requiredEngines(r.Group), r, hosts, engineRoundTrips, 0) {
-		out = append(out, RegionChoice{c.name, region.Judge(n, &c.There, 0).String()})
+		out = append(out, RegionChoice{c.name, region.Evaluate(n, &c.RemoteRegion, 0).String()})
 	}
 	return out
 }
 
 // observe fills in what is known of a region for a request.
 func (c *candidate) observe(b *blackboard.Board, list []*route.State, r route.Request, trips int) {
-	r.Region, r.Reach = c.set, 0
+	r.Region, r.RemoteRegions = c.set, 0
 	open := 0
 	for _, s := range list {
 		if s.Region != c.set {
@@ -179,16 +179,16 @@
 		if c.pool == 0 {
 			c.pool = region.PoolNumber(s.Spec.Pool, s.Spec.Model)
 		}
-		if route.Open(s, &r) {
+		if route.Eligible(s, &r) {
 			open++
 		}
 	}
 	number := config.NameNumber(c.name)
-	c.There = b.Regions.Find(number, c.pool, r.Now)
+	c.RemoteRegion = b.Regions.Find(number, c.pool, r.Now)
 	if b.Regions.Quiet(number, r.Now) {
 		open = 0
 	}
-	c.Open, c.Allowed = open, r.Homes == 0 || r.Homes.Has(c.set)
+	c.EligibleEndpoints, c.Allowed = open, r.AllowedRegions == 0 || r.AllowedRegions.Has(c.set)
 	c.Detour = time.Duration(trips) * b.Regions.Trip(number)
 }
 
@@ -197,10 +197,10 @@
 func countRequesters(regions []candidate, localHosts int) {
 	for i := range regions {
 		c := &regions[i]
-		c.Askers = localHosts
+		c.Requesters = localHosts
 		for k := range regions {
-			if other := &regions[k]; k != i && other.Known && other.Places == 0 {
-				c.Askers += other.hosts
+			if other := &regions[k]; k != i && other.Known && other.Capacity == 0 {
+				c.Requesters += other.hosts
 			}
 		}
 	}
@@ -228,7 +228,7 @@
 // remoteNeed returns what an engine request needs in another region, after its own has
 // refused it.
 func (e *Entry) remoteNeed(j *job, refusal result.Code) region.Need {
-	n := region.Need{Left: j.slack(), Homeless: refusal == result.NoEndpoint || refusal == result.Evacuated}
+	n := region.Need{TimeLeft: j.slack(), NoLocalEndpoint: refusal == result.NoEndpoint || refusal == result.Evacuated}
 	e.board.Endpoints.Read(func(fleet *route.Fleet) {
 		v := fleet.View
 		if g := j.group(fleet); g != nil {
--- a/entry/away_state_test.go
+++ b/entry/away_state_test.go
@@ -54,7 +54,7 @@
 func newRemoteScene(t *testing.T, homes string) (*Entry, *job, *scriptedOwners) {
 	s := &scriptedOwners{leavingScene: newTwoRegionScene(t, homes, "")}
 	v := s.board.Config.View()
-	s.board.Regions.Learn(region.Summary{Region: config.NameNumber("s"), Pool: region.PoolNumber("p", "m"), Places: 50}, time.Now())
+	s.board.Regions.Learn(region.Summary{Region: config.NameNumber("s"), Pool: region.PoolNumber("p", "m"), Capacity: 50}, time.Now())
 	e := New(s.board, s, s, report.NewRecorder(), zap.NewNop())
 	j := promptedJob(e, v, v.Teams["t"])
 	j.reply = newPassthrough(httptest.NewRecorder(), writeError)
@@ -83,7 +83,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		e, j, s := newRemoteScene(t, "")
 		s.board.Endpoints.Learn(route.Digest{Number: route.Number("p1"), QueueMillis: 700}, time.Now())
-		j.criteria.Pair = j.view.RegionSet("s")
+		j.criteria.PrefillRegion = j.view.RegionSet("s")
 		if _, err := e.place(t.Context(), j); err != nil {
 			t.Error(err)
 		}
--- a/entry/away_test.go
+++ b/entry/away_test.go
@@ -33,7 +33,7 @@
 		f(s.states[1])
 	}
 	slow := func(took time.Duration) func(s *scene) {
-		return func(s *scene) { all(s, func(st *route.State) { st.Seen.Took = took.Seconds() }) }
+		return func(s *scene) { all(s, func(st *route.State) { st.Calls.MeanSeconds = took.Seconds() }) }
 	}
 	leave := func(s *scene) { all(s, func(st *route.State) { st.Leaving = true }) }
 	cases := []struct {
@@ -46,22 +46,22 @@
 		{"much slower than elsewhere", slow(220 * ms), "south"},
 		{"slower, but the round trips cost more", slow(130 * ms), "north"},
 		{"full locally", func(s *scene) {
-			all(s, func(st *route.State) { st.Seen.Full = time.Now().Add(time.Second) })
+			all(s, func(st *route.State) { st.Calls.FullUntil = time.Now().Add(time.Second) })
 		}, "south"},
 		{"both refused it, and it is fast elsewhere", func(s *scene) {
 			slow(60 * ms)(s)
-			all(s, func(st *route.State) { s.j.criteria.Drop(st.Number) })
+			all(s, func(st *route.State) { s.j.criteria.AddExcluded(st.Number) })
 		}, "south"},
 		{"both refused it, and it is slow elsewhere", func(s *scene) {
-			all(s, func(st *route.State) { s.j.criteria.Drop(st.Number) })
-			s.b.Regions.Learn(region.Summary{Region: south, Pool: region.PoolNumber("web", ""), Places: 5, WaitMillis: 180}, time.Now().Add(time.Second))
+			all(s, func(st *route.State) { s.j.criteria.AddExcluded(st.Number) })
+			s.b.Regions.Learn(region.Summary{Region: south, Pool: region.PoolNumber("web", ""), Capacity: 5, WaitMillis: 180}, time.Now().Add(time.Second))
 		}, ""},
 		{"no local endpoint", leave, "south"},
 		{"no local endpoint, nothing reported", func(s *scene) { leave(s); s.b.Regions.Drop() }, "south"},
 		{"too slow locally, nothing reported", func(s *scene) { slow(400 * ms)(s); s.b.Regions.Drop() }, "north"},
 		{"too slow everywhere", func(s *scene) {
 			slow(400 * ms)(s)
-			s.b.Regions.Learn(region.Summary{Region: south, Pool: region.PoolNumber("web", ""), Places: 5, WaitMillis: 350}, time.Now().Add(time.Second))
+			s.b.Regions.Learn(region.Summary{Region: south, Pool: region.PoolNumber("web", ""), Capacity: 5, WaitMillis: 350}, time.Now().Add(time.Second))
 		}, "north"},
 		{"too slow locally, little time left", func(s *scene) { slow(400 * ms)(s); s.j.arrived = time.Now().Add(-220 * ms) }, "north"},
 		{"no local endpoint, too late in any case", func(s *scene) { leave(s); s.j.arrived, s.j.deadline = time.Now().Add(-time.Second), 3*time.Second }, "south"},
@@ -90,12 +90,12 @@
 				b.Hosts.Learn(blackboard.Host{Name: d.Name, Number: request.HostNumber(d.Name), Domain: d.Name, Region: d.Region, Incarnation: 1, Beat: 1}, now)
 			}
 			pool := region.PoolNumber("web", "")
-			b.Regions.Learn(region.Summary{Region: south, Pool: pool, Places: 5, WaitMillis: 60}, now)
-			b.Regions.Learn(region.Summary{Region: west, Pool: pool, Places: 50, WaitMillis: 10}, now) // it has no endpoints any more
+			b.Regions.Learn(region.Summary{Region: south, Pool: pool, Capacity: 5, WaitMillis: 60}, now)
+			b.Regions.Learn(region.Summary{Region: west, Pool: pool, Capacity: 50, WaitMillis: 10}, now) // it has no endpoints any more
 			b.Regions.Took(south, 16*ms)
 			e := &Entry{board: b}
 			j := &job{headers: headers{team: defaultTeam}, view: v, route: v.RouteFor("h", "/x"), pool: "web", tries: 1, arrived: now,
-				criteria: route.Request{Home: v.DomainIndex("a"), Region: v.RegionSet("north")}}
+				criteria: route.Request{EntryDomain: v.DomainIndex("a"), Region: v.RegionSet("north")}}
 			b.Endpoints.Read(func(fleet *route.Fleet) { tc.setup(&scene{b, statesOf(fleet), j}) })
 			got := ""
 			if spec := e.chooseService(j); spec != nil {
--- a/entry/barred.go
+++ b/entry/barred.go
@@ -25,20 +25,20 @@
 // barFor returns why a job may no longer use an endpoint that was chosen for it, by the
 // current state. Bars that only say how well the endpoint would serve the request don't
 // count: the endpoint was chosen, and its owner granted capacity.
-func (e *Entry) barFor(j *job, spec *config.Endpoint) (b route.Bar) {
-	b = route.BarGone
+func (e *Entry) barFor(j *job, spec *config.Endpoint) (b route.Reason) {
+	b = route.ReasonGone
 	r := j.criteria
-	r.Now, r.Exclude = time.Now(), [route.MostExcluded]uint32{}
+	r.Now, r.Exclude = time.Now(), [route.MaxExcluded]uint32{}
 	e.board.Endpoints.Find(route.Number(spec.Name), func(v *config.View, s *route.State) {
 		e.bindRegions(v, j, &r)
-		b = route.Barred(s, &r)
+		b = route.IneligibleReason(s, &r)
 	})
 	switch b {
-	case route.BarGone, route.BarLeaving, route.BarDoubted, route.BarEvacuated, route.BarResting, route.BarHome:
+	case route.ReasonGone, route.ReasonLeaving, route.ReasonUnconfirmed, route.ReasonEvacuated, route.ReasonBackoff, route.ReasonRegionNotAllowed:
 		e.barTotals.count(b)
 		return b
 	}
-	return route.BarNone
+	return route.ReasonNone
 }
 
 // bindRegions sets the regions that a job's request is allowed in under a revision. If its
@@ -51,9 +51,9 @@
 	if team == nil {
 		team = j.team
 	}
-	r.Homes, r.Reach = v.Homes(rv.Route, team), 0
-	if r.Homes != 0 && !r.Homes.Has(r.Region) {
-		r.Reach = r.Homes
+	r.AllowedRegions, r.RemoteRegions = v.Homes(rv.Route, team), 0
+	if r.AllowedRegions != 0 && !r.AllowedRegions.Has(r.Region) {
+		r.RemoteRegions = r.AllowedRegions
 	}
 }
 
@@ -61,20 +61,20 @@
 // that weren't made because their endpoint was barred in the meantime.
 type barCounts struct {
 	mu     sync.Mutex
-	counts map[route.Bar]uint64
+	counts map[route.Reason]uint64
 }
 
-func (c *barCounts) count(b route.Bar) {
+func (c *barCounts) count(b route.Reason) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.counts == nil {
-		c.counts = map[route.Bar]uint64{}
+		c.counts = map[route.Reason]uint64{}
 	}
 	c.counts[b]++
 }
 
 // Barred returns how often a bar kept a request from its endpoints.
-func (e *Entry) Barred(b route.Bar) uint64 {
+func (e *Entry) Barred(b route.Reason) uint64 {
 	e.barTotals.mu.Lock()
 	defer e.barTotals.mu.Unlock()
 	return e.barTotals.counts[b]
@@ -84,34 +84,34 @@
 var errBarred = errors.New("the endpoint became unavailable while the request waited")
 
 // barredFailure is the failure of a try whose endpoint was barred before it was called.
-func barredFailure(spec *config.Endpoint, b route.Bar) *retryable {
+func barredFailure(spec *config.Endpoint, b route.Reason) *retryable {
 	refusal := result.Errorf(barCode(b), "%s while the request waited: %s", spec.Name, b).After(time.Second)
-	return &retryable{endpointName: spec.Name, notSent: b == route.BarResting, bar: b, refusal: refusal}
+	return &retryable{endpointName: spec.Name, notSent: b == route.ReasonBackoff, bar: b, refusal: refusal}
 }
 
 // admitCall returns why a call may not be made, or nil. It is the last check before each
 // call.
 func (e *Entry) admitCall(j *job, spec *config.Endpoint) *retryable {
 	b := e.barFor(j, spec)
-	if b == route.BarNone && !e.board.Endpoints.Admit(route.Number(spec.Name), time.Now()) {
-		b = route.BarResting
+	if b == route.ReasonNone && !e.board.Endpoints.Admit(route.Number(spec.Name), time.Now()) {
+		b = route.ReasonBackoff
 	}
-	if b == route.BarNone {
+	if b == route.ReasonNone {
 		return nil
 	}
 	return barredFailure(spec, b)
 }
 
 // barCode returns the result code for a bar at a single endpoint.
-func barCode(b route.Bar) result.Code {
+func barCode(b route.Reason) result.Code {
 	switch b {
-	case route.BarCold:
+	case route.ReasonCold:
 		return result.Cold
-	case route.BarLimited:
+	case route.ReasonLimited:
 		return result.Limited
-	case route.BarTrial:
+	case route.ReasonProbe:
 		return result.UnderTrial
-	case route.BarResting:
+	case route.ReasonBackoff:
 		return result.Resting
 	}
 	return result.EndpointRefused
@@ -120,7 +120,7 @@
 // noneOpen is the refusal of a job for which no endpoint of a list is open. It names the
 // bar of most of them.
 func (e *Entry) noneOpen(j *job, what string, list func(g *route.Group) []*route.State) *result.Error {
-	mainBar := route.BarNone
+	mainBar := route.ReasonNone
 	var numbers []uint32
 	retryAfter, backingOff := time.Duration(0), false
 	j.criteria.Now = time.Now()
@@ -128,9 +128,9 @@
 		v := fleet.View
 		if g := j.group(fleet); g != nil {
 			e.bindRegions(v, j, &j.criteria)
-			open := func(s *route.State) bool { return route.Open(s, &j.criteria) }
+			open := func(s *route.State) bool { return route.Eligible(s, &j.criteria) }
 			if l := list(g); !slices.ContainsFunc(l, open) { // else no bar is the reason
-				mainBar = route.Blame(l, &j.criteria)
+				mainBar = route.MainReason(l, &j.criteria)
 				retryAfter, backingOff = backoffRetryAfter(l, &j.criteria)
 			}
 			for _, s := range list(g) {
@@ -140,17 +140,17 @@
 	})
 	e.barTotals.count(mainBar)
 	switch mainBar {
-	case route.BarEvacuated:
+	case route.ReasonEvacuated:
 		return result.Errorf(result.Evacuated, "no %s is open: %s", what, mainBar).After(evacuatedRetryAfter)
-	case route.BarCold, route.BarLimited:
+	case route.ReasonCold, route.ReasonLimited:
 		return result.Errorf(barCode(mainBar), "no %s is open: %s", what, mainBar).After(e.permitRetryAfter(numbers))
-	case route.BarConnections:
+	case route.ReasonConnections:
 		return result.Errorf(result.TooLate, "no %s is open: %s", what, mainBar).After(e.fullRetryAfter(numbers))
-	case route.BarHome:
+	case route.ReasonRegionNotAllowed:
 		return result.Errorf(result.NoHome, "no %s is open: %s", what, mainBar).After(time.Second)
 	}
 	if backingOff {
-		return result.Errorf(result.Resting, "no %s is open: %s", what, route.BarResting).After(retryAfter)
+		return result.Errorf(result.Resting, "no %s is open: %s", what, route.ReasonBackoff).After(retryAfter)
 	}
 	return result.Errorf(result.NoEndpoint, "no %s that the route allows is reachable", what).After(time.Second)
 }
@@ -161,9 +161,9 @@
 func backoffRetryAfter(list []*route.State, r *route.Request) (retryAfter time.Duration, backingOff bool) {
 	retryAfter = time.Duration(math.MaxInt64)
 	for _, s := range list {
-		if route.Barred(s, r) == route.BarResting {
-			probe := time.Duration((minCallShare + rand.Float64()) * max(s.Seen.Took, minBackoffProbe) * float64(time.Second))
-			retryAfter, backingOff = min(retryAfter, max(0, s.Notices.Rest.Sub(r.Now))+probe), true
+		if route.IneligibleReason(s, r) == route.ReasonBackoff {
+			probe := time.Duration((minCallShare + rand.Float64()) * max(s.Calls.MeanSeconds, minBackoffProbe) * float64(time.Second))
+			retryAfter, backingOff = min(retryAfter, max(0, s.Notices.BackoffUntil.Sub(r.Now))+probe), true
 		}
 	}
 	return retryAfter, backingOff
@@ -179,7 +179,7 @@
 func (e *Entry) fullRetryAfter(list []uint32) time.Duration {
 	took := 0.0
 	for _, number := range list {
-		e.board.Endpoints.Find(number, func(_ *config.View, s *route.State) { took = max(took, s.Seen.Took) })
+		e.board.Endpoints.Find(number, func(_ *config.View, s *route.State) { took = max(took, s.Calls.MeanSeconds) })
 	}
 	if took == 0 {
 		return time.Second
@@ -198,7 +198,7 @@
 
 // moveFromBarred moves a request from a barred decode engine to another, while its prefill
 // result is kept. It returns an error if there is none.
-func (e *Entry) moveFromBarred(ctx context.Context, j *job, p *plan, kv *endpoint.Transfer, expires time.Time, b route.Bar) error {
+func (e *Entry) moveFromBarred(ctx context.Context, j *job, p *plan, kv *endpoint.Transfer, expires time.Time, b route.Reason) error {
 	if p.promptCached || kv == nil {
 		// The prompt is cached there or would be prefilled there: all endpoints are chosen
 		// anew.
@@ -206,12 +206,12 @@
 		return barredFailure(p.decodeSpec, b)
 	}
 	e.moveDecode(ctx, j, p, owner.GivenUp, true)
-	if p.decodeSpec == nil && b == route.BarTrial {
+	if p.decodeSpec == nil && b == route.ReasonProbe {
 		e.recheckDecode(ctx, j, p, expires)
 	}
 	if p.decodeSpec == nil {
 		e.dropResult(j, p, kv)
-		if b == route.BarTrial {
+		if b == route.ReasonProbe {
 			return allDecodesBusy(j, p)
 		}
 		if none := e.noneOpen(j, "decode endpoint", decodeStates); !j.possiblyRan && none.Code != result.NoEndpoint {
@@ -244,7 +244,7 @@
 		return 1
 	}
 	domain := uint64(1) << i
-	j.criteria.Shut |= j.reportedEvacuated & domain
+	j.criteria.EvacuatedDomains |= j.reportedEvacuated & domain
 	j.reportedEvacuated |= domain
 	return 0
 }
--- a/entry/call.go
+++ b/entry/call.go
@@ -106,7 +106,7 @@
 // sampleEndpoints returns some endpoints of a list, from the host's failure domain if it
 // has any.
 func sampleEndpoints(l route.List, home int) []*route.State {
-	list := l.In(home)
+	list := l.InFailureDomain(home)
 	if len(list) == 0 {
 		list = l.All()
 	}
@@ -118,8 +118,8 @@
 func (e *Entry) typicalStep(j *job) (step time.Duration) {
 	e.board.Endpoints.Read(func(fleet *route.Fleet) {
 		if g := j.group(fleet); g != nil {
-			for _, s := range sampleEndpoints(g.Decode, j.criteria.Home) {
-				step = max(step, time.Duration(s.Slow()*float64(route.StepTime(s.Spec, typicalBatch))))
+			for _, s := range sampleEndpoints(g.Decode, j.criteria.EntryDomain) {
+				step = max(step, time.Duration(s.SlowFactor()*float64(route.StepTime(s.Spec, typicalBatch))))
 			}
 		}
 	})
--- a/entry/copy.go
+++ b/entry/copy.go
@@ -59,7 +59,7 @@
 	limited, cancel := context.WithTimeout(ctx, replicaReserveTimeout)
 	defer cancel()
 	a := owner.ReserveArgs{Attempt: e.board.Requests.Open(j.id), Endpoint: route.Number(spec.Name), Tokens: j.tokens,
-		MaxAnswer: j.work.MaxTokens, Expected: j.expected, Mark: j.engineID, Team: j.teamNumber, Priority: j.priority, Spare: copies.Spare(spec)}
+		MaxAnswer: j.work.MaxTokens, Expected: j.expected, Mark: j.engineID, Team: j.teamNumber, Priority: j.priority, Spare: copies.ReservedTokens(spec)}
 	p.replica = &replicaHold{spec: spec, attempt: a.Attempt}
 	reply, err := e.owners.Reserve(limited, spec, a)
 	if err != nil || reply.Code != result.OK {
@@ -87,14 +87,14 @@
 			return
 		}
 		e.bindRegions(v, j, &q)
-		r := copies.Run{Again: j.repeatable, Tokens: j.tokens, Answer: j.likelyTokens(), Engine: engine}
-		if !e.CopyPolicy.Affords(g.Decode.All(), engine) {
+		r := copies.Run{Repeatable: j.repeatable, PromptTokens: j.tokens, AnswerTokens: j.likelyTokens(), Engine: engine}
+		if !e.CopyPolicy.HasFreeMemory(g.Decode.All(), engine) {
 			return
 		}
-		if wanted = e.CopyPolicy.Wants(r, copies.Chance(g.Decode.All(), engine, q.Now)); !wanted {
+		if wanted = e.CopyPolicy.Wants(r, copies.FailureRisk(g.Decode.All(), engine, q.Now)); !wanted {
 			return
 		}
-		if s := copies.Place(g.Decode.All(), &q, r); s != nil {
+		if s := copies.SelectEndpoint(g.Decode.All(), &q, r); s != nil {
 			spec = s.Spec
 		}
 	})
@@ -156,8 +156,8 @@
 // has one, its first engine no longer works on it, and calls may be sent to the replica's
 // engine.
 func (e *Entry) canResume(ctx context.Context, j *job, p *plan, err error) bool {
-	end := copies.End{Copied: p.replica != nil, CallerGone: ctx.Err() != nil, MayHaveRun: endpoint.MayHaveRun(err), Works: endpoint.GivenUp(err), Grown: j.answerAge()}
-	return end.GoesOn() && j.crashCount < maxCrashesPerAttempt && e.canSendTo(ctx, j, p.replica.spec) && e.barFor(j, p.replica.spec) == route.BarNone && e.retryBudgets.Further(j.pool, time.Now(), 1) &&
+	end := copies.End{Replicated: p.replica != nil, CallerGone: ctx.Err() != nil, MayHaveRun: endpoint.MayHaveRun(err), MayStillRun: endpoint.GivenUp(err), DecodeTime: j.answerAge()}
+	return end.CanContinue() && j.crashCount < maxCrashesPerAttempt && e.canSendTo(ctx, j, p.replica.spec) && e.barFor(j, p.replica.spec) == route.ReasonNone && e.retryBudgets.SpendInWindow(j.pool, time.Now(), 1) &&
 		e.acquirePermit(ctx, j, p.replica.spec) == nil
 }
 
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -56,7 +56,7 @@
 	// Decides which answers get a replica of their KV cache. Set before the entry serves.
 	CopyPolicy    copies.Policy
 	logLimiter    *lineLimiter
-	retryTimes    *retry.ComeBack
+	retryTimes    *retry.Delay
 	started       time.Time
 	barTotals     barCounts
 	crashes       crashTracker
@@ -69,14 +69,14 @@
 
 // New returns an entry over the board.
 func New(b *blackboard.Board, g endpoint.Engine, o Owners, rec *report.Recorder, log *zap.Logger) *Entry {
-	e := &Entry{board: b, engine: g, traits: g.Traits(), owners: o, recorder: rec, log: log, retryBudgets: retry.NewBudgets(b.Settings.RetryBudget, b.Hosts.Len), logLimiter: newLineLimiter(), retryTimes: retry.NewComeBack(), started: time.Now()}
+	e := &Entry{board: b, engine: g, traits: g.Traits(), owners: o, recorder: rec, log: log, retryBudgets: retry.NewBudgets(b.Settings.RetryBudget, b.Hosts.Len), logLimiter: newLineLimiter(), retryTimes: retry.NewDelay(), started: time.Now()}
 	e.deadlines.byID = map[request.ID]pendingDeadline{}
 	e.crashes = crashTracker{entry: e, checks: map[process]*crashCheck{}, startTimes: map[string]int64{}}
 	return e
 }
 
 // SetRetryBudget replaces the retry budget.
-func (e *Entry) SetRetryBudget(b config.RetryBudget) { e.retryBudgets.Set(b) }
+func (e *Entry) SetRetryBudget(b config.RetryBudget) { e.retryBudgets.SetWindow(b) }
 
 // Handler returns the callers' HTTP interface.
 func (e *Entry) Handler() http.Handler {
--- a/entry/heard.go
+++ b/entry/heard.go
@@ -47,7 +47,7 @@
 		if s.Notices.Leaving {
 			e.Heard.Leaving.Add(1)
 		}
-		if now.Before(s.Notices.Rest) {
+		if now.Before(s.Notices.BackoffUntil) {
 			e.Heard.Resting.Add(1)
 		}
 	})
@@ -72,11 +72,11 @@
 	if n.UnreadableRest != "" {
 		e.recordUnreadable(&e.Heard.BadRests, "endpoint asks for a rest that can't be read", spec, n.UnreadableRest)
 	}
-	c := e.board.Endpoints.Notice(route.Number(spec.Name), route.Notice{Leaving: n.Leaving, Rest: n.Rest, Born: spec.Born, Sent: sent, Heard: time.Now()})
-	if c.Leaves {
+	c := e.board.Endpoints.Notice(route.Number(spec.Name), route.Notice{Leaving: n.Leaving, Backoff: n.Rest, Started: spec.Born, CalledAt: sent, ReceivedAt: time.Now()})
+	if c.NewlyLeaving {
 		e.log.Info("endpoint says that it leaves", zap.String("endpoint", spec.Name), zap.String("address", spec.Address))
 	}
-	if c.Rests {
+	if c.NewBackoff {
 		e.log.Info("endpoint asks this host for rest", zap.String("endpoint", spec.Name), zap.Duration("rest", n.Rest))
 	}
 }
--- a/entry/kept.go
+++ b/entry/kept.go
@@ -51,7 +51,7 @@
 		}
 		e.bindRegions(v, j, &j.criteria)
 		for _, s := range g.Decode.All() {
-			if route.Open(s, &j.criteria) && s.Spec.Serves(j.criteria.Model) {
+			if route.Eligible(s, &j.criteria) && s.Spec.Serves(j.criteria.Model) {
 				specs = append(specs, s.Spec)
 			}
 		}
--- a/entry/place.go
+++ b/entry/place.go
@@ -27,7 +27,7 @@
 	permit                  heldPermit      // start permit already held for the decode engine
 	replica                 *replicaHold    // replica of the answer's KV cache; nil: none
 	lastDecodeSpec          *config.Endpoint
-	initialExclude          [route.MostExcluded]uint32 // endpoints excluded before decoding
+	initialExclude          [route.MaxExcluded]uint32 // endpoints excluded before decoding
 }
 
 // orLastDecode returns e, or the last decode endpoint tried if e is nil.
@@ -74,8 +74,8 @@
 // A request that its own region refuses may be placed in another.
 func (e *Entry) place(ctx context.Context, j *job) (*plan, error) {
 	e.returnToLocalRegion(j)
-	j.criteria.Shut, j.reportedEvacuated, j.refusedRegions = 0, 0, 0
-	j.criteria.Pair = 0 // that of the try before, maybe in another region
+	j.criteria.EvacuatedDomains, j.reportedEvacuated, j.refusedRegions = 0, 0, 0
+	j.criteria.PrefillRegion = 0 // that of the try before, maybe in another region
 	if p := e.placeOnCached(ctx, j); p != nil {
 		return p, nil
 	}
@@ -100,11 +100,11 @@
 		return nil
 	}
 	c, _ := e.choosePair(j, 0)
-	if c.Prefill == nil || float64(c.Wait) <= redirectWaitShare*float64(j.slack()) {
+	if c.Prefill == nil || float64(c.QueueDuration) <= redirectWaitShare*float64(j.slack()) {
 		return nil
 	}
 	n := e.remoteNeed(j, result.TooLate)
-	n.Left = min(n.Left, maxRemoteWait(c.Wait)+n.Work)
+	n.TimeLeft = min(n.TimeLeft, maxRemoteWait(c.QueueDuration)+n.Work)
 	return e.placeRemote(ctx, j, n, 1, j.localRegions())
 }
 
@@ -112,7 +112,7 @@
 // It tries up to maxRegions regions, and returns nil if the job stays.
 func (e *Entry) placeRemote(ctx context.Context, j *job, n region.Need, maxRegions int, tried config.Regions) *plan {
 	for i := 0; i < maxRegions && j.refusedRegions.Len() < maxRemoteRegions; i++ {
-		n.Left = min(n.Left, j.slack())
+		n.TimeLeft = min(n.TimeLeft, j.slack())
 		if ctx.Err() != nil || !e.redirectJob(j, n, engineRoundTrips, tried|j.refusedRegions, requiredEngines) {
 			break
 		}
@@ -135,20 +135,20 @@
 		if last != nil && j.slack() <= 0 {
 			break // a slot that was waited for and came to nothing has used up the time
 		}
-		j.criteria.Pair = 0
+		j.criteria.PrefillRegion = 0
 		c, v := e.choosePair(j, 0)
 		if c.Prefill == nil {
 			break
 		}
 		p := &plan{Choice: c, prefillSpec: c.Prefill, decodeSpec: c.Decode}
-		j.criteria.Pair = v.RegionSet(v.Region[p.prefillSpec.Domain])
+		j.criteria.PrefillRegion = v.RegionSet(v.Region[p.prefillSpec.Domain])
 		if refusal := e.enqueue(ctx, j, p, notBefore); refusal != nil {
 			last = placementRefusal(refusal, last)
 			if ctx.Err() != nil {
 				break
 			}
-			e.logRefused(j, p.prefillSpec, string(blackboard.PhaseQueue), refusal, c.Age)
-			j.criteria.Drop(route.Number(p.prefillSpec.Name))
+			e.logRefused(j, p.prefillSpec, string(blackboard.PhaseQueue), refusal, c.DigestAge)
+			j.criteria.AddExcluded(route.Number(p.prefillSpec.Name))
 			if refusal.Code == result.Evacuated {
 				asks += j.noteEvacuated(v, p.prefillSpec)
 			} else {
@@ -169,13 +169,13 @@
 			}
 			if last.Code == result.Evacuated && ctx.Err() == nil {
 				asks += j.noteEvacuated(v, p.prefillSpec)
-				j.criteria.Drop(route.Number(p.prefillSpec.Name))
+				j.criteria.AddExcluded(route.Number(p.prefillSpec.Name))
 				last = nil
 				continue
 			}
 		}
 		e.releasePrefill(p)
-		if ctx.Err() != nil || j.redirected() || last.RetryAfter+p.Read+p.Move > j.slack() {
+		if ctx.Err() != nil || j.redirected() || last.RetryAfter+p.PrefillDuration+p.TransferDuration > j.slack() {
 			break // a request doesn't wait for memory in a remote region
 		}
 		notBefore = time.Now().Add(last.RetryAfter)
@@ -209,7 +209,7 @@
 // engine that prefills the prompt itself.
 func (e *Entry) placeDecodeOnly(ctx context.Context, j *job) (*plan, *result.Error) {
 	p := new(plan)
-	j.criteria.Pair = 0
+	j.criteria.PrefillRegion = 0
 	if refusal := e.reserveFrom(ctx, j, p, e.chooseDecode, 0); refusal != nil {
 		return nil, refusal
 	}
--- a/entry/read.go
+++ b/entry/read.go
@@ -105,9 +105,9 @@
 // engine may be asked soon.
 func (e *Entry) prefillTimeout(p *plan) time.Duration {
 	if e.traits.ReadingRuns {
-		return prefillTimeoutBase + prefillTimeoutFactor*p.Read
+		return prefillTimeoutBase + prefillTimeoutFactor*p.PrefillDuration
 	}
-	return repeatableTimeoutBase + prefillTimeoutFactor*(p.Read+p.Wait)
+	return repeatableTimeoutBase + prefillTimeoutFactor*(p.PrefillDuration+p.QueueDuration)
 }
 
 // recordCall updates the endpoint table with the outcome of a call.
@@ -118,19 +118,19 @@
 	if err != nil && ctx.Err() != nil {
 		return // the caller left, or its deadline passed
 	}
-	sight := route.SightWhole
+	sight := route.OutcomeCompleted
 	switch {
 	case err == nil:
 	case endpoint.Elsewhere(err), endpoint.Unreachable(err):
-		sight = route.SightGone
+		sight = route.OutcomeUnreachable
 	case !endpoint.MayHaveRun(err):
-		sight = route.SightFull
+		sight = route.OutcomeFull
 	default:
-		sight = route.SightFailed
+		sight = route.OutcomeFailed
 	}
 	now := time.Now()
 	number := route.Number(spec.Name)
-	e.board.Endpoints.Touch(number, func(s *route.State) { s.Seen.Note(now, sight, took) })
+	e.board.Endpoints.Touch(number, func(s *route.State) { s.Calls.Record(now, sight, took) })
 	switch {
 	case endpoint.Answered(err) && e.board.Heard(spec.Domain):
 		e.log.Info("failure domain back", zap.String("domain", spec.Domain), zap.String("heard", spec.Name))
@@ -147,8 +147,8 @@
 // learn the engine's speed and cache hits from.
 func (e *Entry) shouldReport(p *plan, rel owner.Release) bool {
 	took := time.Duration(rel.Millis) * time.Millisecond
-	off := (took - p.Read).Abs()
-	return off > ordinaryDeviation+p.Read/4 || e.sequence.Load()%reportEvery == 0
+	off := (took - p.PrefillDuration).Abs()
+	return off > ordinaryDeviation+p.PrefillDuration/4 || e.sequence.Load()%reportEvery == 0
 }
 
 // ordinaryDeviation is how far from its forecast an ordinary prefill may end: the owner
--- a/entry/relay.go
+++ b/entry/relay.go
@@ -104,7 +104,7 @@
 	if !e.traits.ReadingRuns && !j.repeatable {
 		return forever
 	}
-	return time.Duration(e.board.Settings.StallMillis)*time.Millisecond + p.Move
+	return time.Duration(e.board.Settings.StallMillis)*time.Millisecond + p.TransferDuration
 }
 
 // laterStallLimit returns how long an engine may write nothing once it has begun. Where the
@@ -117,7 +117,7 @@
 	if !e.traits.HangUpAborts {
 		return tokenStall
 	}
-	return copies.Quiet(time.Duration(p.decodeSpec.PieceTokens()) * e.typicalStep(j))
+	return copies.SilenceLimit(time.Duration(p.decodeSpec.PieceTokens()) * e.typicalStep(j))
 }
 
 // maxSilence returns how long an engine that is alive may be silent. If the answer may not
--- a/entry/reserve.go
+++ b/entry/reserve.go
@@ -22,7 +22,7 @@
 		}
 		return c, v
 	}
-	return e.reserveFrom(ctx, j, p, choose, p.Read)
+	return e.reserveFrom(ctx, j, p, choose, p.PrefillDuration)
 }
 
 // reserveFrom reserves decode memory on the first engine that grants it, among those that
@@ -36,16 +36,16 @@
 		if c.Decode == nil {
 			break
 		}
-		p.decodeSpec, p.Move = c.Decode, c.Move
+		p.decodeSpec, p.TransferDuration = c.Decode, c.TransferDuration
 		refusal := e.reserve(ctx, j, p, prefillIn)
 		if refusal == nil || ctx.Err() != nil {
 			return refusal
 		}
-		e.logRefused(j, p.decodeSpec, string(blackboard.PhaseReserve), refusal, c.Age)
+		e.logRefused(j, p.decodeSpec, string(blackboard.PhaseReserve), refusal, c.DigestAge)
 		if lack := placementRefusal(refusal, last); last == nil || lack.RetryAfter < last.RetryAfter {
 			last = lack
 		}
-		j.criteria.Drop(route.Number(p.decodeSpec.Name))
+		j.criteria.AddExcluded(route.Number(p.decodeSpec.Name))
 		if refusal.Code == result.Evacuated {
 			asks += j.noteEvacuated(v, p.decodeSpec)
 		} else {
@@ -62,7 +62,7 @@
 func (e *Entry) reserve(ctx context.Context, j *job, p *plan, prefillIn time.Duration) *result.Error {
 	a := owner.ReserveArgs{Attempt: e.board.Requests.Open(j.id), Endpoint: route.Number(p.decodeSpec.Name), Tokens: j.tokens,
 		MaxAnswer: j.work.MaxTokens, Expected: j.expected, Mark: j.engineID, Bytes: int64(j.tokens) * kvBytesPerToken(j.view, j.work.Model),
-		InMillis: ms(prefillIn), Slack: max(0, ms(j.slack()-prefillIn-p.Move-j.redirect.detour)), Team: j.teamNumber, Priority: j.priority, Abroad: j.redirected()}
+		InMillis: ms(prefillIn), Slack: max(0, ms(j.slack()-prefillIn-p.TransferDuration-j.redirect.detour)), Team: j.teamNumber, Priority: j.priority, Abroad: j.redirected()}
 	p.decodeAttempt, p.reserved = a.Attempt, false
 	now := time.Now()
 	reply, err := e.owners.Reserve(ctx, p.decodeSpec, a)
--- a/entry/run.go
+++ b/entry/run.go
@@ -24,7 +24,7 @@
 
 // run takes a completion to its result, with retries where these are allowed.
 func (e *Entry) run(ctx context.Context, j *job) *result.Error {
-	e.retryBudgets.Count(j.pool, j.arrived)
+	e.retryBudgets.CountRequest(j.pool, j.arrived)
 	backoff := backoffStart
 	for {
 		j.tries++
@@ -54,10 +54,10 @@
 // retryable is a failure after which the request may be tried again elsewhere, if it may be
 // repeated or did not run.
 type retryable struct {
-	endpointName string    // the endpoint that failed
-	sameEndpoint bool      // it may be retried at the same endpoint
-	notSent      bool      // no permit, or a backoff: no call was made
-	bar          route.Bar // what barred the endpoint before the call; BarNone: nothing
+	endpointName string       // the endpoint that failed
+	sameEndpoint bool         // it may be retried at the same endpoint
+	notSent      bool         // no permit, or a backoff: no call was made
+	bar          route.Reason // what barred the endpoint before the call; BarNone: nothing
 	mayHaveRun   bool
 	refusal      *result.Error // sent to the caller if there is no further try
 }
@@ -67,7 +67,7 @@
 
 // maxUncounted is how many tries without a call aren't counted: as many as a request can
 // exclude endpoints.
-const maxUncounted = route.MostExcluded
+const maxUncounted = route.MaxExcluded
 
 // uncount takes back the count of a try that made no call: endpoints without a permit are
 // detected one after the other.
@@ -96,7 +96,7 @@
 		return result.Errorf(result.RetryBudget, "the retry budget is spent; %s", r.refusal.Detail).After(time.Second)
 	}
 	if !r.sameEndpoint {
-		j.criteria.Drop(route.Number(r.endpointName))
+		j.criteria.AddExcluded(route.Number(r.endpointName))
 	}
 	return nil
 }
@@ -111,7 +111,7 @@
 	if j.prompted {
 		calls += min(1, j.prefillCalls)
 	}
-	return e.retryBudgets.Further(j.pool, time.Now(), calls)
+	return e.retryBudgets.SpendInWindow(j.pool, time.Now(), calls)
 }
 
 func asResult(err error) *result.Error {
@@ -158,7 +158,7 @@
 		e.releaseDecode(j, p, owner.GivenUp)
 		return asResult(ctx.Err())
 	}
-	if b := e.barFor(j, p.prefillSpec); b != route.BarNone {
+	if b := e.barFor(j, p.prefillSpec); b != route.ReasonNone {
 		e.releasePrefill(p)
 		e.releaseDecode(j, p, owner.GivenUp)
 		return barredFailure(p.prefillSpec, b)
@@ -179,7 +179,7 @@
 // prefillDelay returns how long to hold the prompt back, because its result would otherwise
 // wait too long for memory at the decode engine.
 func (p *plan) prefillDelay() time.Duration {
-	wait := time.Until(p.transferStart) - p.Read
+	wait := time.Until(p.transferStart) - p.PrefillDuration
 	if wait < time.Duration(p.prefillSpec.ResultKeepMillis)*time.Millisecond/resultWaitDivisor {
 		return 0
 	}
--- a/entry/service.go
+++ b/entry/service.go
@@ -70,7 +70,7 @@
 // runService tries the call, with retries where these are allowed. A call that may not be
 // repeated is sent once, and again only if it can't have run.
 func (e *Entry) runService(ctx context.Context, j *job) *result.Error {
-	e.retryBudgets.Count(j.pool, j.arrived)
+	e.retryBudgets.CountRequest(j.pool, j.arrived)
 	for {
 		if refusal := e.acquireProbe(ctx, j); refusal != nil {
 			return refusal
@@ -87,7 +87,7 @@
 		if refusal != nil {
 			return refusal
 		}
-		failed := barredFailure(spec, route.BarTrial)
+		failed := barredFailure(spec, route.ReasonProbe)
 		if !elsewhere {
 			failed = e.acquirePermit(ctx, j, spec)
 		}
@@ -143,17 +143,17 @@
 // endpoint for it is redirected even if it may be late.
 func (j *job) serviceRemoteNeed(spec *config.Endpoint, localTime time.Duration, noEndpoint bool) (n region.Need, stays bool) {
 	left := time.Until(j.arrived.Add(time.Duration(targetShare * float64(j.target()))))
-	n.Left = time.Duration(remoteTimeShare * float64(left))
+	n.TimeLeft = time.Duration(remoteTimeShare * float64(left))
 	switch {
 	case noEndpoint:
-		n.Homeless = true
+		n.NoLocalEndpoint = true
 		if j.deadline > 0 {
-			n.Left = time.Until(j.arrived.Add(j.deadline))
+			n.TimeLeft = time.Until(j.arrived.Add(j.deadline))
 		}
 	case spec != nil && float64(localTime) <= redirectWaitShare*float64(left):
 		return n, true
 	case spec != nil:
-		n.Left = min(n.Left, maxRemoteWait(localTime))
+		n.TimeLeft = min(n.TimeLeft, maxRemoteWait(localTime))
 	}
 	return n, false
 }
@@ -169,10 +169,10 @@
 			return
 		}
 		r := j.criteria
-		r.Exclude = [route.MostExcluded]uint32{}
+		r.Exclude = [route.MaxExcluded]uint32{}
 		e.bindRegions(v, j, &r)
 		for _, s := range g.Service.All() {
-			none = none && !route.Open(s, &r)
+			none = none && !route.Eligible(s, &r)
 		}
 	})
 	return none
--- a/entry/service_choice.go
+++ b/entry/service_choice.go
@@ -20,7 +20,7 @@
 		}
 		e.bindRegions(fleet.View, j, &j.criteria)
 		open := func(s *route.State) bool {
-			return route.Open(s, &j.criteria) && (j.repeatable || s.Spec.NotRepeatableAllows) && !(j.tries > 1 && s.Seen.Shunned(j.criteria.Now))
+			return route.Eligible(s, &j.criteria) && (j.repeatable || s.Spec.NotRepeatableAllows) && !(j.tries > 1 && s.Calls.IsUnreachable(j.criteria.Now))
 		}
 		best := fleet.PickService(&j.criteria, open, func(s *route.State) float64 { return serviceCost(s, &j.criteria) })
 		if best != nil {
@@ -33,10 +33,10 @@
 // callTime returns how long a call at an endpoint typically takes, from this host's own
 // calls.
 func callTime(s *route.State, now time.Time) time.Duration {
-	if s.Seen.Shunned(now) || now.Before(s.Seen.Full) {
+	if s.Calls.IsUnreachable(now) || now.Before(s.Calls.FullUntil) {
 		return forever
 	}
-	return time.Duration(s.Seen.Took * float64(time.Second))
+	return time.Duration(s.Calls.MeanSeconds * float64(time.Second))
 }
 
 // Penalties of a service endpoint, as the number of calls that another endpoint may have
@@ -52,20 +52,20 @@
 )
 
 func serviceCost(s *route.State, r *route.Request) float64 {
-	cost := float64(s.Sent) + failingPenalty*s.Seen.Failing(r.Now) + slowPenalty*s.Seen.Took
-	if s.Domain != r.Home {
+	cost := float64(s.InFlight) + failingPenalty*s.Calls.FailureRate(r.Now) + slowPenalty*s.Calls.MeanSeconds
+	if s.Domain != r.EntryDomain {
 		cost += otherDomainPenalty
 	}
-	if s.Cold(r.Now) {
+	if s.IsCold(r.Now) {
 		cost += coldPenalty
 	}
-	if s.Limited(r.Now) {
+	if s.IsLimited(r.Now) {
 		cost += limitedPenalty
 	}
-	if s.Seen.Shunned(r.Now) {
+	if s.Calls.IsUnreachable(r.Now) {
 		cost += unreachablePenalty
 	}
-	if r.Now.Before(s.Seen.Full) {
+	if r.Now.Before(s.Calls.FullUntil) {
 		cost += fullPenalty
 	}
 	return cost
--- a/entry/service_test.go
+++ b/entry/service_test.go
@@ -25,18 +25,18 @@
 		want  string // empty: none
 	}{
 		{"the own domain", func([]*route.State) {}, 1, "s0"},
-		{"the own is busy", func(s []*route.State) { s[0].Sent = 6 }, 1, "s1"},
-		{"the own fails", func(s []*route.State) { s[0].Seen.Failed, s[0].Seen.At = 0.9, now }, 1, "s1"},
-		{"the own was full just now", func(s []*route.State) { s[0].Seen.Full = now.Add(time.Second) }, 1, "s1"},
-		{"the own was unreachable", func(s []*route.State) { s[0].Seen.Shun = now.Add(time.Second) }, 1, "s1"},
+		{"the own is busy", func(s []*route.State) { s[0].InFlight = 6 }, 1, "s1"},
+		{"the own fails", func(s []*route.State) { s[0].Calls.FailedShare, s[0].Calls.LastCall = 0.9, now }, 1, "s1"},
+		{"the own was full just now", func(s []*route.State) { s[0].Calls.FullUntil = now.Add(time.Second) }, 1, "s1"},
+		{"the own was unreachable", func(s []*route.State) { s[0].Calls.UnreachableUntil = now.Add(time.Second) }, 1, "s1"},
 		{"all were unreachable, at first", func(s []*route.State) {
 			for i := range s {
-				s[i].Seen.Shun = now.Add(time.Second)
+				s[i].Calls.UnreachableUntil = now.Add(time.Second)
 			}
 		}, 1, "s0"},
 		{"all were unreachable, and one was tried", func(s []*route.State) {
 			for i := range s {
-				s[i].Seen.Shun = now.Add(time.Second)
+				s[i].Calls.UnreachableUntil = now.Add(time.Second)
 			}
 		}, 2, ""},
 		{"the own leaves", func(s []*route.State) { s[0].Leaving = true }, 1, "s1"},
@@ -62,7 +62,7 @@
 			b.Endpoints.Read(func(fleet *route.Fleet) { tc.see(statesOf(fleet)) })
 			e := &Entry{board: b}
 			j := &job{headers: headers{team: defaultTeam}, view: v, route: v.RouteFor("h", "/x"), pool: "web", tries: tc.tries,
-				criteria: route.Request{Home: v.DomainIndex("a"), Region: v.RegionSet("r")}}
+				criteria: route.Request{EntryDomain: v.DomainIndex("a"), Region: v.RegionSet("r")}}
 			got := ""
 			if spec := e.chooseService(j); spec != nil {
 				got = spec.Name
--- a/entry/start.go
+++ b/entry/start.go
@@ -38,7 +38,7 @@
 	maxWait := e.maxPermitWait(j, spec)
 	for end := time.Now().Add(maxWait); ; {
 		b := e.permitReason(spec)
-		if b == route.BarNone {
+		if b == route.ReasonNone {
 			break
 		}
 		left := time.Until(end)
@@ -65,8 +65,8 @@
 }
 
 // requestPermit asks the owner for a permit that is valid within wait.
-func (e *Entry) requestPermit(ctx context.Context, j *job, spec *config.Endpoint, b route.Bar, wait time.Duration) peer.Start {
-	s := e.owners.Start(ctx, spec, peer.StartAsk{Wait: max(0, wait), Warm: b == route.BarLimited,
+func (e *Entry) requestPermit(ctx context.Context, j *job, spec *config.Endpoint, b route.Reason, wait time.Duration) peer.Start {
+	s := e.owners.Start(ctx, spec, peer.StartAsk{Wait: max(0, wait), Warm: b == route.ReasonLimited,
 		Asker: pace.Asker{Team: j.teamNumber, Priority: j.priority}})
 	if !s.Given {
 		s.In = max(s.In, minPermitRetry)
@@ -75,14 +75,14 @@
 }
 
 // permitReason returns why a call to an endpoint needs a permit; BarNone: it needs none.
-func (e *Entry) permitReason(spec *config.Endpoint) (b route.Bar) {
+func (e *Entry) permitReason(spec *config.Endpoint) (b route.Reason) {
 	e.board.Endpoints.Find(route.Number(spec.Name), func(_ *config.View, s *route.State) {
 		_, limited := s.Limit.Limit(clock.Now())
 		switch {
-		case s.Cold(time.Now()):
-			b = route.BarCold
+		case s.IsCold(time.Now()):
+			b = route.ReasonCold
 		case limited:
-			b = route.BarLimited
+			b = route.ReasonLimited
 		}
 	})
 	return b
@@ -102,8 +102,8 @@
 		r := j.criteria
 		r.Now = time.Now()
 		e.bindRegions(v, j, &r)
-		for _, s := range g.Of(spec.Role).All() {
-			if s.Spec.Name != spec.Name && route.Open(s, &r) && s.Free(r.Now) {
+		for _, s := range g.ForRole(spec.Role).All() {
+			if s.Spec.Name != spec.Name && route.Eligible(s, &r) && s.HasCapacity(r.Now) {
 				maxWait = 0
 			}
 		}
@@ -114,15 +114,15 @@
 // limitedNotCold reports whether an endpoint names a limit and isn't cold.
 func limitedNotCold(fleet *route.Fleet, spec *config.Endpoint) bool {
 	s := fleet.Find(route.Number(spec.Name))
-	return s != nil && s.Limited(time.Now()) && !s.Cold(time.Now())
+	return s != nil && s.IsLimited(time.Now()) && !s.IsCold(time.Now())
 }
 
 // noPermit records that an endpoint has no permit for some time for a call that would wait
 // that long, and returns the refusal.
-func (e *Entry) noPermit(j *job, spec *config.Endpoint, b route.Bar, s peer.Start, wait time.Duration) *retryable {
+func (e *Entry) noPermit(j *job, spec *config.Endpoint, b route.Reason, s peer.Start, wait time.Duration) *retryable {
 	now := time.Now()
 	e.board.Endpoints.Touch(route.Number(spec.Name), func(st *route.State) {
-		st.NoStart, st.Back = now.Add(max(minPermitRetry, s.In-wait)), now.Add(max(s.In, s.Back))
+		st.NoPermitUntil, st.RetryAt = now.Add(max(minPermitRetry, s.In-wait)), now.Add(max(s.In, s.Back))
 	})
 	e.Unstarted.Add(1)
 	refusal := result.Errorf(barCode(b), "%s: %s", spec.Name, b).After(max(s.In, s.Back))
@@ -136,7 +136,7 @@
 func (e *Entry) acquireDecodePermit(ctx context.Context, j *job, p *plan, prefillIn time.Duration) *result.Error {
 	p.permit = heldPermit{}
 	b := e.permitReason(p.decodeSpec)
-	if b != route.BarLimited {
+	if b != route.ReasonLimited {
 		return nil
 	}
 	maxWait := e.maxPermitWait(j, p.decodeSpec) + prefillIn
@@ -145,7 +145,7 @@
 		return e.noPermit(j, p.decodeSpec, b, s, maxWait).refusal
 	}
 	p.transferStart = later(p.transferStart, time.Now().Add(s.In))
-	p.permit = heldPermit{endpoint: p.decodeSpec.Name, until: s.Until.Add(min(maxPermitHold, max(prefillIn, time.Until(p.transferStart))+p.Move+permitHoldExtra))}
+	p.permit = heldPermit{endpoint: p.decodeSpec.Name, until: s.Until.Add(min(maxPermitHold, max(prefillIn, time.Until(p.transferStart))+p.TransferDuration+permitHoldExtra))}
 	return nil
 }
 
@@ -177,10 +177,10 @@
 	soonest, retryAfter := uint32(0), time.Duration(math.MaxInt64)
 	for _, number := range list {
 		e.board.Endpoints.Find(number, func(_ *config.View, s *route.State) {
-			if !s.Cold(now) && !s.Limit.Word().Named {
+			if !s.IsCold(now) && !s.Limit.Word().Named {
 				return
 			}
-			if in := max(s.NoStart.Sub(now)+pace.LeastWait, s.Back.Sub(now)); in < retryAfter {
+			if in := max(s.NoPermitUntil.Sub(now)+pace.LeastWait, s.RetryAt.Sub(now)); in < retryAfter {
 				soonest, retryAfter = number, in
 			}
 		})
@@ -191,7 +191,7 @@
 	retryAfter = min(max(retryAfter, 0), maxPermitRetryAfter)
 	e.board.Endpoints.Touch(soonest, func(s *route.State) {
 		if w := s.Limit.Word(); w.Named {
-			s.Back = now.Add(retryAfter + time.Duration(float64(time.Second)/max(w.PerSecond, 1/maxPermitRetryAfter.Seconds())))
+			s.RetryAt = now.Add(retryAfter + time.Duration(float64(time.Second)/max(w.PerSecond, 1/maxPermitRetryAfter.Seconds())))
 		}
 	})
 	return retryAfter
--- a/entry/suspect.go
+++ b/entry/suspect.go
@@ -77,7 +77,7 @@
 	if refusal != nil {
 		return refusal
 	}
-	return barredFailure(spec, route.BarTrial)
+	return barredFailure(spec, route.ReasonProbe)
 }
 
 // probeWaitFailure is the failure of a try that releases what it holds after a refusal at
@@ -86,7 +86,7 @@
 // answer, the last ones would be refused otherwise.
 func probeWaitFailure(refusal *result.Error, spec *config.Endpoint) error {
 	if refusal.Code == result.UnderTrial {
-		return barredFailure(spec, route.BarTrial)
+		return barredFailure(spec, route.ReasonProbe)
 	}
 	return refusal
 }
@@ -112,7 +112,7 @@
 // released what it held. It is tried again.
 func allDecodesBusy(j *job, p *plan) error {
 	j.criteria.Exclude = p.initialExclude
-	r := barredFailure(p.lastDecodeSpec, route.BarTrial)
+	r := barredFailure(p.lastDecodeSpec, route.ReasonProbe)
 	r.sameEndpoint = true
 	return r
 }
@@ -135,7 +135,7 @@
 		a.Request, a.Holder = j.fingerprint, j.probeHolder()
 		reply := e.owners.Trial(ctx, a)
 		j.probing = j.probing || reply.Granted
-		j.criteria.Trial = j.probing
+		j.criteria.Probe = j.probing
 		if reply.Granted || reply.Elsewhere {
 			return reply.Elsewhere, nil
 		}
@@ -202,6 +202,6 @@
 	if !j.probing {
 		return
 	}
-	j.probing, j.settled, j.criteria.Trial = false, false, false
+	j.probing, j.settled, j.criteria.Probe = false, false, false
 	go e.owners.TrialDone(j.fingerprint, j.probeHolder(), false)
 }
--- a/entry/turn.go
+++ b/entry/turn.go
@@ -44,10 +44,10 @@
 	p.prefillAttempt = e.board.Requests.Open(j.id)
 	defer e.board.Requests.Close(p.prefillAttempt)
 	a := owner.EnqueueArgs{Attempt: p.prefillAttempt, Endpoint: route.Number(p.prefillSpec.Name), Tokens: j.tokens, Head: j.criteria.Head,
-		HasHead: j.criteria.HasHead, Slack: ms(j.slack() - p.Move - j.redirect.detour), NotYet: ms(time.Until(notBefore)),
+		HasHead: j.criteria.HasHead, Slack: ms(j.slack() - p.TransferDuration - j.redirect.detour), NotYet: ms(time.Until(notBefore)),
 		Team: j.teamNumber, Priority: j.priority, Abroad: j.redirected()}
 	if p.prefillSpec.Registered {
-		a.Expect = 1 + ms(p.Wait) + max(0, a.NotYet)
+		a.Expect = 1 + ms(p.QueueDuration) + max(0, a.NotYet)
 	}
 	reply, err := e.owners.Enqueue(ctx, p.prefillSpec, a)
 	switch {
@@ -55,8 +55,8 @@
 		e.board.Regions.Missed(config.NameNumber(j.redirect.region), time.Now())
 		return result.Errorf(result.TooLate, "the owner of %s is unreachable", p.prefillSpec.Name).After(time.Second)
 	case err != nil && errors.Is(err, peer.ErrOutOfReach) && ctx.Err() == nil:
-		if p.Wait+p.Read+p.Move > j.slack() {
-			return result.Errorf(result.TooLate, "by the last report of %s the prefill would end too late", p.prefillSpec.Name).After(p.Wait + p.Read)
+		if p.QueueDuration+p.PrefillDuration+p.TransferDuration > j.slack() {
+			return result.Errorf(result.TooLate, "by the last report of %s the prefill would end too late", p.prefillSpec.Name).After(p.QueueDuration + p.PrefillDuration)
 		}
 		return nil
 	case err != nil:
--- a/entry/unreserved.go
+++ b/entry/unreserved.go
@@ -17,7 +17,7 @@
 	if p.prefillSpec == nil {
 		return e.noneOpen(j, "prefill endpoint", prefillStates)
 	}
-	p.Read = time.Duration(float64(j.tokens) / p.prefillSpec.TokensPerSecond * float64(time.Second))
+	p.PrefillDuration = time.Duration(float64(j.tokens) / p.prefillSpec.TokensPerSecond * float64(time.Second))
 	kv, err := e.prefill(ctx, j, p)
 	if err != nil {
 		return err
@@ -28,7 +28,7 @@
 		j.wastedTokens += p.prefilledTokens
 		return e.noneOpen(j, "decode endpoint", decodeStates)
 	}
-	p.Move = route.LinkTime(p.decodeSpec, kv.Bytes) * baselineTransfers
+	p.TransferDuration = route.LinkTime(p.decodeSpec, kv.Bytes) * baselineTransfers
 	p.decodeAttempt = e.board.Requests.Open(j.id)
 	return e.decode(ctx, j, p, kv)
 }
@@ -48,7 +48,7 @@
 			return
 		}
 		e.bindRegions(v, j, &j.criteria)
-		if s := route.PickOne(list(j.criteria.Group), v.Doc.Policy.Mode, turn, &j.criteria); s != nil {
+		if s := route.PickBaseline(list(j.criteria.Group), v.Doc.Policy.Mode, turn, &j.criteria); s != nil {
 			spec = s.Spec
 		}
 	})
--- a/entry/write.go
+++ b/entry/write.go
@@ -27,7 +27,7 @@
 	p.initialExclude = j.criteria.Exclude
 	defer func() { e.releaseReplica(j, p) }()
 	for {
-		for b := e.barFor(j, p.decodeSpec); b != route.BarNone; b = e.barFor(j, p.decodeSpec) {
+		for b := e.barFor(j, p.decodeSpec); b != route.ReasonNone; b = e.barFor(j, p.decodeSpec) {
 			if err := e.moveFromBarred(ctx, j, p, kv, expires, b); err != nil {
 				return err
 			}
@@ -38,7 +38,7 @@
 			return probeWaitFailure(refusal, p.decodeSpec)
 		}
 		if elsewhere {
-			if err := e.moveFromBarred(ctx, j, p, kv, expires, route.BarTrial); err != nil {
+			if err := e.moveFromBarred(ctx, j, p, kv, expires, route.ReasonProbe); err != nil {
 				return err
 			}
 			continue
@@ -140,7 +140,7 @@
 // which happens repeatedly only with the engine that made it.
 func (e *Entry) suspectResult(p *plan) {
 	number, now := route.Number(p.prefillSpec.Name), time.Now()
-	e.board.Endpoints.Touch(number, func(s *route.State) { s.Seen.Note(now, route.SightFailed, 0) })
+	e.board.Endpoints.Touch(number, func(s *route.State) { s.Calls.Record(now, route.OutcomeFailed, 0) })
 	e.owners.Release(p.prefillSpec, owner.Release{Attempt: p.prefillAttempt, Endpoint: number, Outcome: owner.Failed})
 }
 
@@ -154,7 +154,7 @@
 // spendDecodeCall charges one more call to a decode engine to the retry budget, where
 // further calls are counted.
 func (e *Entry) spendDecodeCall(j *job) bool {
-	return j.decodeCalls == 0 || e.retryBudgets.Further(j.pool, time.Now(), 1)
+	return j.decodeCalls == 0 || e.retryBudgets.SpendInWindow(j.pool, time.Now(), 1)
 }
 
 const (
@@ -175,12 +175,12 @@
 // owner grants capacity. Otherwise it keeps waiting.
 func (e *Entry) moveIfCapacity(ctx context.Context, j *job, p *plan) {
 	old := *p
-	j.criteria.Drop(route.Number(p.decodeSpec.Name))
+	j.criteria.AddExcluded(route.Number(p.decodeSpec.Name))
 	c, _ := e.choosePair(j, 0)
 	if c.Decode == nil {
 		return
 	}
-	p.decodeSpec, p.Move = c.Decode, c.Move
+	p.decodeSpec, p.TransferDuration = c.Decode, c.TransferDuration
 	if refusal := e.reserve(ctx, j, p, 0); refusal != nil || !p.reserved {
 		e.board.Requests.Close(p.decodeAttempt)
 		*p = old
@@ -198,7 +198,7 @@
 		p.decodeAttempt = e.board.Requests.Open(j.id)
 		return
 	}
-	j.criteria.Drop(route.Number(p.decodeSpec.Name))
+	j.criteria.AddExcluded(route.Number(p.decodeSpec.Name))
 	e.findDecode(ctx, j, p)
 }
 
@@ -212,8 +212,8 @@
 		return
 	}
 	p.stalls = 0
-	p.decodeSpec, p.Move = c.Decode, c.Move
-	p.Wait, p.Read = 0, 0
+	p.decodeSpec, p.TransferDuration = c.Decode, c.TransferDuration
+	p.QueueDuration, p.PrefillDuration = 0, 0
 	if refusal := e.reserve(ctx, j, p, 0); refusal != nil {
 		p.decodeAttempt = e.board.Requests.Open(j.id) // the engine's own admission decides
 	}
--- a/forecast/answers.go
+++ b/forecast/answers.go
@@ -30,8 +30,8 @@
 	bins[min(answerBins-1, (answer-1)*answerBins/asked)]++
 }
 
-// Survive returns the probability that an answer is longer than length tokens.
-func (f *Answers) Survive(length float64, asked int) float64 {
+// Survival returns the probability that an answer is longer than length tokens.
+func (f *Answers) Survival(length float64, asked int) float64 {
 	if asked <= 0 || length >= float64(asked) {
 		return 0
 	}
--- a/forecast/guesses.go
+++ b/forecast/guesses.go
@@ -2,16 +2,16 @@
 
 import "math"
 
-// Guesses forecasts the length of answers from callers' estimates. Estimates are right in the median
+// Estimates forecasts the length of answers from callers' estimates. Estimates are right in the median
 // but often far off, and they vary more than answers do. So the logarithm of a length is forecast by
 // linear regression on the logarithm of its estimate, with a learned slope, mostly below 1, and a
 // normally distributed error.
-type Guesses struct {
-	estimates    Moment // logarithms of the estimates of all requests
-	offset       Moment // of answers from their estimates, in logarithms
-	squaredError Moment // of the forecast logarithms
-	covariance   Moment // of estimates and answers
-	variance     Moment // of estimates
+type Estimates struct {
+	estimates    RunningMean // logarithms of the estimates of all requests
+	offset       RunningMean // of answers from their estimates, in logarithms
+	squaredError RunningMean // of the forecast logarithms
+	covariance   RunningMean // of estimates and answers
+	variance     RunningMean // of estimates
 }
 
 // The prior, and its weight in observations. The weight is high because the first answers that
@@ -24,30 +24,30 @@
 	minError      = 0.1
 )
 
-// NewGuesses returns a forecast with the prior only.
-func NewGuesses() Guesses {
-	return Guesses{
-		offset:       Moment{Weight: priorWeight},
-		squaredError: Moment{Mean: priorError * priorError, Weight: priorWeight},
-		covariance:   Moment{Mean: priorSlope * priorVariance, Weight: priorWeight},
-		variance:     Moment{Mean: priorVariance, Weight: priorWeight},
+// NewEstimates returns a forecast with the prior only.
+func NewEstimates() Estimates {
+	return Estimates{
+		offset:       RunningMean{Weight: priorWeight},
+		squaredError: RunningMean{Mean: priorError * priorError, Weight: priorWeight},
+		covariance:   RunningMean{Mean: priorSlope * priorVariance, Weight: priorWeight},
+		variance:     RunningMean{Mean: priorVariance, Weight: priorWeight},
 	}
 }
 
-// See records the estimate of a request that asks for capacity.
-func (f *Guesses) See(estimate int) {
+// Observe records the estimate of a request that asks for capacity.
+func (f *Estimates) Observe(estimate int) {
 	if estimate > 0 {
 		f.estimates.Learn(math.Log(float64(estimate)))
 	}
 }
 
 // slope returns how strongly lengths follow their estimates, from 0 to 1.
-func (f *Guesses) slope() float64 {
+func (f *Estimates) slope() float64 {
 	return min(1, max(0, f.covariance.Mean/f.variance.Mean))
 }
 
 // medianLog returns the median of the logarithm of an answer's length.
-func (f *Guesses) medianLog(estimate int) float64 {
+func (f *Estimates) medianLog(estimate int) float64 {
 	g := math.Log(float64(estimate))
 	if f.estimates.Weight == 0 {
 		return g
@@ -56,7 +56,7 @@
 }
 
 // Learn records the length of a complete answer and its estimate.
-func (f *Guesses) Learn(answer, estimate int) {
+func (f *Estimates) Learn(answer, estimate int) {
 	if answer <= 0 || estimate <= 0 || f.estimates.Weight == 0 {
 		return
 	}
@@ -69,12 +69,12 @@
 }
 
 // deviation returns the standard deviation of the logarithm of an answer's length.
-func (f *Guesses) deviation() float64 {
+func (f *Estimates) deviation() float64 {
 	return max(minError, math.Sqrt(f.squaredError.Mean))
 }
 
-// Survive returns the probability that an answer is longer than length tokens.
-func (f *Guesses) Survive(length float64, estimate int) float64 {
+// Survival returns the probability that an answer is longer than length tokens.
+func (f *Estimates) Survival(length float64, estimate int) float64 {
 	if length < 1 {
 		return 1
 	}
@@ -82,7 +82,7 @@
 }
 
 // Expect returns the mean length of an answer, in tokens.
-func (f *Guesses) Expect(estimate int) int {
+func (f *Estimates) Expect(estimate int) int {
 	s := f.deviation()
 	return max(1, int(math.Exp(f.medianLog(estimate)+s*s/2)))
 }
--- a/forecast/guesses_test.go
+++ b/forecast/guesses_test.go
@@ -20,7 +20,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			f := NewGuesses()
+			f := NewEstimates()
 			r := rand.New(rand.NewPCG(3, 3))
 			draw := func() (answer, estimate int) {
 				a := 8 + tc.answers*r.NormFloat64()
@@ -28,7 +28,7 @@
 			}
 			for range 3000 {
 				answer, estimate := draw()
-				f.See(estimate)
+				f.Observe(estimate)
 				f.Learn(answer, estimate)
 			}
 			if s := f.slope(); math.Abs(s-tc.slope) > 0.1 {
@@ -38,7 +38,7 @@
 			shorter, n := 0, 4000
 			for range n {
 				answer, estimate := draw()
-				if f.Survive(float64(answer), estimate) > 0.25 {
+				if f.Survival(float64(answer), estimate) > 0.25 {
 					shorter++
 				}
 			}
--- a/forecast/reading.go
+++ b/forecast/reading.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Reading learns how long an engine's prefills take. An engine processes one prompt after the other.
+// Prefill learns how long an engine's prefills take. An engine processes one prompt after the other.
 // Each call also takes a fixed time, during which the engine already processes the next prompt. So
 // the time of a call to an idle engine is linear in its tokens, and the time between the ends of
 // consecutive calls to a busy engine is proportional to its tokens. Both are fitted together by
 // least squares, in which older calls count less.
-type Reading struct {
+type Prefill struct {
 	configured float64 // seconds per thousand tokens
 	prior      fit     // before any observation
 
@@ -46,20 +46,20 @@
 	minPrefillTime   = time.Millisecond // for any prompt
 )
 
-// NewReading returns the fit of an engine without observations.
-func NewReading(tokensPerSecond float64) Reading {
+// NewPrefill returns the fit of an engine without observations.
+func NewPrefill(tokensPerSecond float64) Prefill {
 	slope := thousand / tokensPerSecond
-	return Reading{configured: slope, prior: fit{slope: slope}}
+	return Prefill{configured: slope, prior: fit{slope: slope}}
 }
 
 // Inherit sets the prior from another host's digest: the factor on the engine's configured time per
 // token, and the fixed time of a call.
-func (p *Reading) Inherit(slow float64, lag time.Duration) {
+func (p *Prefill) Inherit(slow float64, lag time.Duration) {
 	p.prior = fit{lag: lag.Seconds(), slope: p.configured * slow}
 }
 
 // line returns the current fit.
-func (p *Reading) line() fit {
+func (p *Prefill) line() fit {
 	n, x, y := p.idle.n+lagPriorWeight, p.idle.x, p.idle.y+lagPriorWeight*p.prior.lag
 	xx := p.idle.xx + p.busy.xx + slopePriorWeight
 	xy := p.idle.xy + p.busy.xy + slopePriorWeight*p.prior.slope
@@ -69,22 +69,22 @@
 	return f
 }
 
-// Stretch is an interval of uninterrupted work of an engine, as far as its owner knows.
-type Stretch struct {
-	From   time.Time // the start of a call to the idle engine, or the end of another call
-	Told   bool      // From is the end of another call
-	Tokens int       // prefilled since From
+// Interval is an interval of uninterrupted work of an engine, as far as its owner knows.
+type Interval struct {
+	From      time.Time // the start of a call to the idle engine, or the end of another call
+	AfterCall bool      // From is the end of another call
+	Tokens    int       // prefilled since From
 }
 
 // Learn records a call that ended. Its tokens took at most as long as the call, and those of its
 // interval at most as long as the interval. One of the two bounds is tight: the first if the engine
 // was idle when the call came, else the second. So the bound with the higher rate counts.
-func (p *Reading) Learn(tokens int, took time.Duration, s Stretch, end time.Time) {
+func (p *Prefill) Learn(tokens int, took time.Duration, s Interval, end time.Time) {
 	f := p.line()
 	ownTokens, ownTime := float64(max(1, tokens))/thousand, took.Seconds()
 	allTokens, allTime := float64(max(1, s.Tokens))/thousand, end.Sub(s.From).Seconds()
 	allWork := allTime
-	if !s.Told {
+	if !s.AfterCall {
 		allWork -= f.lag
 	}
 	if allWork/allTokens >= (ownTime-f.lag)/ownTokens {
@@ -95,7 +95,7 @@
 	}
 	p.busy.fade(1 - 1/rememberedCalls)
 	p.idle.fade(1 - 1/(idleFactor*rememberedCalls))
-	if s.Told {
+	if s.AfterCall {
 		p.busy.add(allTokens, allTime)
 	} else {
 		p.idle.add(allTokens, allTime)
@@ -103,14 +103,14 @@
 }
 
 // Lag returns the fixed time of a call.
-func (p *Reading) Lag() time.Duration { return seconds(p.line().lag) }
+func (p *Prefill) Lag() time.Duration { return seconds(p.line().lag) }
 
 // Work returns how long this many tokens keep the engine from the next prompt.
-func (p *Reading) Work(tokens int) time.Duration {
+func (p *Prefill) Work(tokens int) time.Duration {
 	return max(minPrefillTime, seconds(float64(tokens)/thousand*p.line().slope))
 }
 
-// Slow returns the learned factor on the configured time per token.
-func (p *Reading) Slow() float64 { return p.line().slope / p.configured }
+// SlowFactor returns the learned factor on the configured time per token.
+func (p *Prefill) SlowFactor() float64 { return p.line().slope / p.configured }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/ledger/growing.go
+++ b/ledger/growing.go
@@ -39,9 +39,9 @@
 // survival returns the probability that an answer is longer than the tokens decoded so far.
 func (l *Ledger) survival(decoded float64, expected, maxAnswer int) float64 {
 	if expected > 0 && decoded < float64(maxAnswer) {
-		return l.estimates.Survive(decoded, expected)
+		return l.estimates.Survival(decoded, expected)
 	}
-	return l.answers.Survive(decoded, maxAnswer)
+	return l.answers.Survival(decoded, maxAnswer)
 }
 
 // expectedTokens returns the mean length of an answer.
@@ -136,7 +136,7 @@
 func (l *Ledger) reserveGrowing(now time.Time, a Ask) (time.Time, *result.Error) {
 	step := l.step()
 	l.typical.Learn(a.Tokens, a.MaxAnswer, a.Expected)
-	l.estimates.See(a.Expected)
+	l.estimates.Observe(a.Expected)
 	c := l.newcomer(a.Tokens, a.Expected, a.MaxAnswer, step)
 	wanted := now.Add(a.In)
 	latest := wanted.Add(a.Slack)
@@ -166,7 +166,7 @@
 
 // waitGrowing returns how long a request of typical size waits for memory.
 func (l *Ledger) waitGrowing(now time.Time) time.Duration {
-	c := l.newcomer(l.typical.Prompt(), l.typical.Guess(), l.typical.Answer(), l.step())
+	c := l.newcomer(l.typical.Prompt(), l.typical.Estimate(), l.typical.Answer(), l.step())
 	last := int(maxWait / growthStep)
 	line := l.timeline(now, last+len(c))
 	for i := range last {
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -41,23 +41,23 @@
 	share          float64 // of the engine that this ledger may grant
 	lease          time.Duration
 	rows           map[request.Attempt]*row
-	answers        forecast.Answers // by the part of the requested maximum
-	estimates      forecast.Guesses // by the callers' estimates
-	stepPace       forecast.Moment  // learned factor on the configured time of a step
-	paceChangeSeen int              // consecutive lists that showed another pace
+	answers        forecast.Answers     // by the part of the requested maximum
+	estimates      forecast.Estimates   // by the callers' estimates
+	stepPace       forecast.RunningMean // learned factor on the configured time of a step
+	paceChangeSeen int                  // consecutive lists that showed another pace
 	ended          map[request.Attempt]time.Time
 	byIDHash       map[uint64]request.Attempt
 
 	refused map[request.ID]refusedRequest
 
-	typical        forecast.Usual
+	typical        forecast.Typical
 	waitComputedAt time.Time
 	wait           time.Duration
 }
 
 // New returns the ledger of an engine of which the given share may be granted.
 func New(v *config.View, spec *config.Endpoint, share float64) *Ledger {
-	l := &Ledger{rows: map[request.Attempt]*row{}, refused: map[request.ID]refusedRequest{}, estimates: forecast.NewGuesses(),
+	l := &Ledger{rows: map[request.Attempt]*row{}, refused: map[request.ID]refusedRequest{}, estimates: forecast.NewEstimates(),
 		ended: map[request.Attempt]time.Time{}, byIDHash: map[uint64]request.Attempt{}}
 	l.Fit(v, spec, share)
 	return l
@@ -127,13 +127,13 @@
 	}
 	alive := 1.0
 	if now.After(transferEnd) {
-		alive = l.answers.Survive(decoded(now), r.maxAnswer)
+		alive = l.answers.Survival(decoded(now), r.maxAnswer)
 	}
 	if alive < minSurvival {
 		// It has outlived its forecast and may end at any time.
 		return math.Exp(-float64(t.Sub(now)) / float64(overrun))
 	}
-	return l.answers.Survive(decoded(t), r.maxAnswer) / alive
+	return l.answers.Survival(decoded(t), r.maxAnswer) / alive
 }
 
 const (
--- a/ledger/steps.go
+++ b/ledger/steps.go
@@ -74,19 +74,19 @@
 		return
 	}
 	l.paceChangeSeen = 0
-	l.stepPace = forecast.Moment{Mean: min(maxPaceFactor, max(1/maxPaceFactor, l.stepPace.Mean*ratio)), Weight: inheritedWeight}
+	l.stepPace = forecast.RunningMean{Mean: min(maxPaceFactor, max(1/maxPaceFactor, l.stepPace.Mean*ratio)), Weight: inheritedWeight}
 }
 
 // observeStep learns from the seconds of a step.
 func (l *Ledger) observeStep(seconds float64) {
 	configured := route.StepTime(l.spec, len(l.rows)).Seconds()
-	l.stepPace.LearnOf(min(maxPaceFactor, max(1/maxPaceFactor, seconds/configured)), stepWindow)
+	l.stepPace.LearnWindow(min(maxPaceFactor, max(1/maxPaceFactor, seconds/configured)), stepWindow)
 }
 
 // InheritPace starts from the pace of other engines of the pool.
 func (l *Ledger) InheritPace(slowPct uint16) {
 	if slowPct > 0 && l.stepPace.Weight == 0 {
-		l.stepPace = forecast.Moment{Mean: float64(slowPct) / 100, Weight: inheritedWeight}
+		l.stepPace = forecast.RunningMean{Mean: float64(slowPct) / 100, Weight: inheritedWeight}
 	}
 }
 
--- a/node/admin.go
+++ b/node/admin.go
@@ -158,8 +158,8 @@
 		return ex
 	}
 	ex.Route = r.Name
-	req := route.Request{Model: labels["model"], Tokens: tokens, MaxAnswer: maxTokens, Home: v.DomainIndex(n.settings.Domain),
-		Region: v.RegionSet(n.settings.Region), Homes: v.Homes(r.Route, v.Teams[labels["team"]]), Now: time.Now()}
+	req := route.Request{Model: labels["model"], Tokens: tokens, MaxAnswer: maxTokens, EntryDomain: v.DomainIndex(n.settings.Domain),
+		Region: v.RegionSet(n.settings.Region), AllowedRegions: v.Homes(r.Route, v.Teams[labels["team"]]), Now: time.Now()}
 	hosts := n.Board.Hosts.Regions(req.Now)
 	n.Board.Endpoints.Read(func(fleet *route.Fleet) {
 		if fleet.View != v {
@@ -171,13 +171,13 @@
 		c := fleet.Pick(&req)
 		if c.Prefill == nil {
 			ex.Refusal = result.NoEndpoint.String()
-			if route.Blame(slices.Concat(req.Group.Prefill.All(), req.Group.Decode.All()), &req) == route.BarEvacuated {
+			if route.MainReason(slices.Concat(req.Group.Prefill.All(), req.Group.Decode.All()), &req) == route.ReasonEvacuated {
 				ex.Refusal = result.Evacuated.String()
 			}
 			return
 		}
 		ex.Prefill, ex.Decode = c.Prefill.Name, c.Decode.Name
-		ex.Wait, ex.Read, ex.Move = c.Wait.Seconds(), c.Read.Seconds(), c.Move.Seconds()
+		ex.Wait, ex.Read, ex.Move = c.QueueDuration.Seconds(), c.PrefillDuration.Seconds(), c.TransferDuration.Seconds()
 		if ex.Wait+ex.Read+ex.Move > ex.Target {
 			ex.Refusal = result.TooLate.String() + " according to the latest digests; the owner decides"
 		}
--- a/node/evacuations.go
+++ b/node/evacuations.go
@@ -33,7 +33,7 @@
 	n.Board.Endpoints.Read(func(fleet *route.Fleet) {
 		for s := range fleet.All() {
 			if s.Evacuated {
-				out[s.Spec.Domain] += s.Sent
+				out[s.Spec.Domain] += s.InFlight
 			}
 		}
 	})
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -215,7 +215,7 @@
 	}
 	_, err = meter.Float64ObservableCounter("requests_barred", metric.WithDescription("requests, or calls of them, that endpoints were barred from, by what barred most"),
 		metric.WithFloat64Callback(func(_ context.Context, o metric.Float64Observer) error {
-			for _, b := range route.Bars() {
+			for _, b := range route.Reasons() {
 				o.Observe(float64(n.entry.Barred(b)), metric.WithAttributes(attribute.String("reason", b.Label())))
 			}
 			return nil
--- a/node/node.go
+++ b/node/node.go
@@ -105,7 +105,7 @@
 
 // New returns a node that isn't running yet.
 func New(s *config.Settings, opts ...Option) (*Node, error) {
-	n := &Node{settings: s, Board: blackboard.New(s), Record: report.NewRecorder(), log: zap.NewNop(), suspendedAtDrop: clock.Suspended(), storeTraffic: new(meter.Traffic), failed: make(chan error, 4), replicaPolicy: copies.Standing,
+	n := &Node{settings: s, Board: blackboard.New(s), Record: report.NewRecorder(), log: zap.NewNop(), suspendedAtDrop: clock.Suspended(), storeTraffic: new(meter.Traffic), failed: make(chan error, 4), replicaPolicy: copies.DefaultPolicy,
 		listen: func(a string) (net.Listener, error) { return net.Listen("tcp", a) }}
 	for _, o := range opts {
 		o(n)
--- a/node/regions.go
+++ b/node/regions.go
@@ -49,7 +49,7 @@
 
 func (n *Node) poolStatus(number uint32, pool string, now time.Time) PoolStatus {
 	t := n.Board.Regions.Find(number, config.NameNumber(pool), now)
-	out := PoolStatus{Pool: pool, Places: t.Places, Wait: float64(t.WaitMillis), Age: -1, Sent: t.Sent}
+	out := PoolStatus{Pool: pool, Places: t.Capacity, Wait: float64(t.WaitMillis), Age: -1, Sent: t.Sent}
 	if t.Known {
 		out.Age, out.Trust = t.Age.Seconds(), region.Trust(t.Age)
 	}
--- a/node/status.go
+++ b/node/status.go
@@ -110,13 +110,13 @@
 
 func (n *Node) endpointStatus(v *config.View, st *route.State, now time.Time) EndpointStatus {
 	es := EndpointStatus{Endpoint: st.Spec.Name, Role: st.Role, Domain: st.Spec.Domain, State: stateName(st), Queue: st.Digest.QueueMillis,
-		Free: st.Digest.FreeTokens, Slots: st.Digest.FreeSlots, Slow: st.Slow(), Failing: st.Digest.FailPct, Age: -1, Cold: st.ColdFor(now).Seconds()}
+		Free: st.Digest.FreeTokens, Slots: st.Digest.FreeSlots, Slow: st.SlowFactor(), Failing: st.Digest.FailPct, Age: -1, Cold: st.ColdRemaining(now).Seconds()}
 	es.Starts, es.Refused = n.Owner.Starts.Count(st.Number)
 	if w := st.Limit.Word(); w.Named {
 		es.Limit, es.LimitSince = &w.PerSecond, clock.Now().Sub(st.Limit.Since).Seconds()
 	}
-	if !st.At.IsZero() {
-		es.Age = now.Sub(st.At).Seconds()
+	if !st.DigestAt.IsZero() {
+		es.Age = now.Sub(st.DigestAt).Seconds()
 	}
 	if h, ok := owner.Of(n.Board, v, st.Spec, now); ok {
 		es.Owner = h.Name
@@ -132,15 +132,15 @@
 		return "being emptied"
 	case f&route.FlagDown != 0:
 		return "down"
-	case f&route.FlagWrong != 0:
+	case f&route.FlagWrongState != 0:
 		return "being ordered"
-	case st.IsResting(time.Now()):
+	case st.IsBackingOff(time.Now()):
 		return "resting"
-	case st.Cold(time.Now()):
+	case st.IsCold(time.Now()):
 		return "cold"
 	case st.Limit.Word().Named:
 		return "limited"
-	case st.At.IsZero():
+	case st.DigestAt.IsZero():
 		return "unknown"
 	}
 	return "ok"
--- a/owner/abroad.go
+++ b/owner/abroad.go
@@ -15,7 +15,7 @@
 // backlog is long.
 func (s *Scheduler) checkRemoteQueue(now time.Time, a EnqueueArgs) *result.Error {
 	queued := s.queue.Backlog(now)
-	if !a.Abroad || region.TakesTurn(queued) {
+	if !a.Abroad || region.AcceptsPrefill(queued) {
 		return nil
 	}
 	return result.Errorf(result.TooLate, "endpoint %s serves prefills of its own region first", s.spec.Name).After(queued)
@@ -28,7 +28,7 @@
 	}
 	tokens, slots, _ := s.ledger.Free(now)
 	wait := s.ledger.Wait(now)
-	if region.TakesRoom(region.Room{Free: tokens, Memory: s.spec.MemoryTokens, Slots: slots, AllSlots: s.spec.Slots, Wait: wait, Need: a.Tokens}) {
+	if region.AcceptsDecode(region.DecodeCapacity{Free: tokens, Memory: s.spec.MemoryTokens, Slots: slots, TotalSlots: s.spec.Slots, Wait: wait, Need: a.Tokens}) {
 		return nil
 	}
 	return result.Errorf(result.NoDecodeMemory, "endpoint %s keeps its decode memory for its own region", s.spec.Name).After(max(wait, minRemoteRetry))
--- a/owner/balance.go
+++ b/owner/balance.go
@@ -38,8 +38,8 @@
 	membersSettled bool      // the members have not changed for settledAfter
 	tenures        map[uint32]tenure
 	orderedAt      map[uint32]time.Time
-	fence          uint64                  // highest fence known to have been used
-	imbalances     map[string]*roles.Looks // by pool
+	fence          uint64                    // highest fence known to have been used
+	imbalances     map[string]*roles.History // by pool
 	cache          orderableCache
 }
 
@@ -130,10 +130,10 @@
 	defer o.balance.mu.Unlock()
 	tracker := o.balance.imbalances[pool]
 	if tracker == nil {
-		tracker = new(roles.Looks)
+		tracker = new(roles.History)
 		o.balance.imbalances[pool] = tracker
 	}
-	return tracker.Lasting(n, to, now)
+	return tracker.Record(n, to, now)
 }
 
 // roleChanging returns a function that reports whether an endpoint is announced as changing to
@@ -141,7 +141,7 @@
 func (o *Owner) roleChanging() func(e *config.Endpoint) bool {
 	numbers := map[uint32]bool{}
 	o.board.Endpoints.Read(func(fleet *route.Fleet) {
-		for s := range fleet.Wrong() {
+		for s := range fleet.InWrongState() {
 			numbers[s.Number] = true
 		}
 	})
--- a/owner/book.go
+++ b/owner/book.go
@@ -129,7 +129,7 @@
 	case s.ledger != nil:
 		d.SlowPct = s.ledger.SlowPct()
 	case s.queue != nil:
-		d.SlowPct, d.LagMillis = uint16(s.queue.Pace.Slow()*100), uint32(s.queue.Pace.Lag().Milliseconds())
+		d.SlowPct, d.LagMillis = uint16(s.queue.Pace.SlowFactor()*100), uint32(s.queue.Pace.Lag().Milliseconds())
 	}
 	switch {
 	case s.queue != nil && reserves:
@@ -170,7 +170,7 @@
 		f |= route.FlagLeaving
 	}
 	if s.wrongState || time.Now().Before(s.roleChangeUntil) {
-		f |= route.FlagWrong
+		f |= route.FlagWrongState
 	}
 	return f
 }
--- a/owner/lone.go
+++ b/owner/lone.go
@@ -24,7 +24,7 @@
 	perSecond, allowed := 0.0, false
 	s.board.Endpoints.Find(number, func(_ *config.View, st *route.State) {
 		perSecond, allowed = st.Limit.Limit(now)
-		allowed = allowed && !st.Cold(time.Now())
+		allowed = allowed && !st.IsCold(time.Now())
 	})
 	if !allowed {
 		return pace.Never, false
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -73,7 +73,7 @@
 // New returns an owner without schedulers.
 func New(b *blackboard.Board, e endpoint.Engine, log *zap.Logger) *Owner {
 	o := &Owner{board: b, engine: e, log: log, schedulers: map[uint32]*Scheduler{}}
-	o.balance.orderedAt, o.balance.imbalances, o.balance.tenures = map[uint32]time.Time{}, map[string]*roles.Looks{}, map[uint32]tenure{}
+	o.balance.orderedAt, o.balance.imbalances, o.balance.tenures = map[uint32]time.Time{}, map[string]*roles.History{}, map[uint32]tenure{}
 	o.Starts = newStarts(b, func() Peers { return o.peers }, log)
 	b.Pause.OnWake(o.resetAfterPause)
 	return o
@@ -163,7 +163,7 @@
 func (o *Owner) medianPace(spec *config.Endpoint) (d route.Digest) {
 	var slow, lag []uint32
 	o.board.Endpoints.Read(func(fleet *route.Fleet) {
-		for _, s := range fleet.Alike(spec) {
+		for _, s := range fleet.Siblings(spec) {
 			if s.Digest.SlowPct > 0 && len(slow) < maxPaceSamples {
 				slow = append(slow, uint32(s.Digest.SlowPct))
 				lag = append(lag, s.Digest.LagMillis)
--- a/owner/poll.go
+++ b/owner/poll.go
@@ -139,7 +139,7 @@
 	perSecond, limited, backingOff := 0.0, false, false
 	o.board.Endpoints.Find(sched.number, func(_ *config.View, s *route.State) {
 		perSecond, limited = s.Limit.Limit(clock.Now())
-		backingOff = s.IsResting(time.Now())
+		backingOff = s.IsBackingOff(time.Now())
 	})
 	if backingOff {
 		return max(normal, maxPollInterval)
@@ -227,7 +227,7 @@
 	sched.mu.Lock()
 	spec := sched.spec
 	sched.mu.Unlock()
-	o.board.Endpoints.Notice(sched.number, route.Notice{Leaving: st.Notice.Leaving, Born: spec.Born, Heard: time.Now()})
+	o.board.Endpoints.Notice(sched.number, route.Notice{Leaving: st.Notice.Leaving, Started: spec.Born, ReceivedAt: time.Now()})
 	if !st.Notice.Limit.Named || o.peers == nil {
 		return
 	}
--- a/owner/starts.go
+++ b/owner/starts.go
@@ -134,7 +134,7 @@
 func (s *Starts) bounds(spec *config.Endpoint, warm bool, now time.Time) (b bounds) {
 	s.board.Endpoints.Find(route.Number(spec.Name), func(_ *config.View, st *route.State) {
 		b.perSecond, b.limited = st.Limit.Limit(now)
-		warm = warm && !st.Cold(time.Now())
+		warm = warm && !st.IsCold(time.Now())
 	})
 	b.cold = !warm && spec.ColdPerSecond > 0
 	return b
--- a/owner/starts_test.go
+++ b/owner/starts_test.go
@@ -183,8 +183,8 @@
 	if reply.Digest.Flags&route.FlagCold == 0 {
 		t.Errorf("flags %b don't mark the endpoint as cold", reply.Digest.Flags)
 	}
-	s := route.State{Spec: &config.Endpoint{ColdPerSecond: 21}, Digest: reply.Digest, At: time.Now()}
-	if !s.Cold(time.Now()) || s.Cold(time.Now().Add(time.Minute)) {
+	s := route.State{Spec: &config.Endpoint{ColdPerSecond: 21}, Digest: reply.Digest, DigestAt: time.Now()}
+	if !s.IsCold(time.Now()) || s.IsCold(time.Now().Add(time.Minute)) {
 		t.Error("an owner's cold flag expires at once, or never")
 	}
 }
--- a/owner/votes.go
+++ b/owner/votes.go
@@ -67,8 +67,8 @@
 	}
 	s.mu.Unlock()
 	s.board.Endpoints.Read(func(fleet *route.Fleet) {
-		for st := range fleet.Own() {
-			if !wanted[st.Number] && (st.Cold(time.Now()) || st.Limit.Fresh(now) > 0) {
+		for st := range fleet.Owned() {
+			if !wanted[st.Number] && (st.IsCold(time.Now()) || st.Limit.Fresh(now) > 0) {
 				out = append(out, *st)
 			}
 		}
@@ -135,7 +135,7 @@
 // logColdChange logs an endpoint that has turned cold or warm.
 func (s *Starts) logColdChange(st *route.State) {
 	now := time.Now()
-	isCold := st.Cold(now)
+	isCold := st.IsCold(now)
 	s.mu.Lock()
 	p := s.permitsAt(st.Number, clock.Now())
 	wasCold, given := p.cold, p.given
--- a/peer/limits.go
+++ b/peer/limits.go
@@ -50,7 +50,7 @@
 	due := false
 	r.board.Endpoints.Find(config.NameNumber(spec.Name), func(_ *config.View, s *route.State) {
 		now := clock.Now()
-		due = s.Limit.Changed(now) && now.Sub(s.LimitNews) >= limitRepeatAfter
+		due = s.Limit.Changed(now) && now.Sub(s.LimitAnnouncedAt) >= limitRepeatAfter
 	})
 	if due {
 		r.announceLimit(spec)
@@ -109,8 +109,8 @@
 	}
 	number, now, due := config.NameNumber(spec.Name), clock.Now(), false
 	r.board.Endpoints.Touch(number, func(s *route.State) {
-		if due = now.Sub(s.LimitTold) >= ownerReportInterval; due {
-			s.LimitTold = now
+		if due = now.Sub(s.LimitReportedAt) >= ownerReportInterval; due {
+			s.LimitReportedAt = now
 		}
 	})
 	if due {
@@ -120,7 +120,7 @@
 
 // noteLimitAnnounced records when an endpoint's limit was last announced.
 func (r *Router) noteLimitAnnounced(number uint32) {
-	r.board.Endpoints.Touch(number, func(s *route.State) { s.LimitNews = clock.Now() })
+	r.board.Endpoints.Touch(number, func(s *route.State) { s.LimitAnnouncedAt = clock.Now() })
 }
 
 // Limit records another host's report of an endpoint's limit.
--- a/peer/regions.go
+++ b/peer/regions.go
@@ -64,7 +64,7 @@
 	for _, s := range rows {
 		out = binary.LittleEndian.AppendUint32(out, s.Region)
 		out = binary.LittleEndian.AppendUint32(out, s.Pool)
-		for _, f := range [...]uint32{s.Places, s.WaitMillis / packMillis, s.AgeMillis / packMillis} {
+		for _, f := range [...]uint32{s.Capacity, s.WaitMillis / packMillis, s.AgeMillis / packMillis} {
 			out = binary.AppendUvarint(out, uint64(f))
 		}
 	}
@@ -80,7 +80,7 @@
 	var out []region.Summary
 	for len(r.src) > 0 {
 		s := region.Summary{Region: r.uint32(), Pool: r.uint32()}
-		s.Places = uint32(min(r.uvarint(), maxMillis))
+		s.Capacity = uint32(min(r.uvarint(), maxMillis))
 		s.WaitMillis = uint32(min(r.uvarint(), maxMillis) * packMillis)
 		s.AgeMillis = uint32(min(r.uvarint(), maxMillis) * packMillis)
 		if r.bad {
--- a/peer/regions_test.go
+++ b/peer/regions_test.go
@@ -57,11 +57,11 @@
 		t.Fatal(err)
 	}
 	row := south.board.Regions.Find(n, pool, now)
-	if !row.Known || row.Places == 0 {
+	if !row.Known || row.Capacity == 0 {
 		t.Fatalf("learned %+v", row)
 	}
 	south.board.Regions.Learn(region.Summary{Region: n, Pool: pool, AgeMillis: 3000}, now)
-	if got := south.board.Regions.Find(n, pool, now); got.Places != row.Places {
+	if got := south.board.Regions.Find(n, pool, now); got.Capacity != row.Capacity {
 		t.Errorf("older data replaced newer: %+v", got)
 	}
 	if relayed := south.summaries(now, "south"); len(relayed) != len(sent) {
@@ -83,7 +83,7 @@
 func TestOneRegionTellsNothing(t *testing.T) {
 	one := strings.NewReplacer(`"south"`, `"north"`, `"west"`, `"north"`).Replace(regionsDocument)
 	r := regionsHost(t, one, "a", "north")
-	r.board.Regions.Learn(region.Summary{Region: 7, Pool: 7, Places: 7}, time.Now())
+	r.board.Regions.Learn(region.Summary{Region: 7, Pool: 7, Capacity: 7}, time.Now())
 	for _, to := range []string{"north", "other"} {
 		if a := r.buildExchange(sendOptions{to: HostIdentity{Domain: "b", Region: to}}); a.Regions != nil {
 			t.Errorf("sends %d B of region summaries", len(a.Regions))
--- a/peer/router.go
+++ b/peer/router.go
@@ -255,5 +255,5 @@
 // Touched counts a request that this host sent to an endpoint (n is 1) or that ended there (n is
 // -1). The baseline policies, which have no other information, use the count.
 func (r *Router) Touched(number uint32, n int) {
-	r.board.Endpoints.Touch(number, func(s *route.State) { s.Sent += n })
+	r.board.Endpoints.Touch(number, func(s *route.State) { s.InFlight += n })
 }
--- a/queue/calls.go
+++ b/queue/calls.go
@@ -11,7 +11,7 @@
 type sentRequest struct {
 	number       uint64 // in the order of sending
 	tokens       int
-	interval     forecast.Stretch // the uninterrupted work of the engine that ends with this request
+	interval     forecast.Interval // the uninterrupted work of the engine that ends with this request
 	work         time.Duration
 	cachedTokens int
 	sentAt       time.Time
@@ -53,9 +53,9 @@
 func (q *Queue) learn(c *sentRequest, took time.Duration) {
 	end := c.sentAt.Add(took)
 	q.Pace.Learn(c.tokens, took, c.interval, end)
-	restart := func(s *forecast.Stretch) {
+	restart := func(s *forecast.Interval) {
 		if s.From.Equal(c.interval.From) {
-			*s = forecast.Stretch{From: end, Told: true, Tokens: s.Tokens - c.interval.Tokens}
+			*s = forecast.Interval{From: end, AfterCall: true, Tokens: s.Tokens - c.interval.Tokens}
 		}
 	}
 	for _, o := range q.inFlight {
--- a/queue/queue.go
+++ b/queue/queue.go
@@ -40,16 +40,16 @@
 	waiting   []*Item
 	inFlight  map[request.Attempt]*sentRequest
 	sent      uint64
-	busyUntil time.Time        // when the engine will have prefilled what was sent
-	interval  forecast.Stretch // uninterrupted work up to what was sent last
-	Pace      forecast.Reading // the learned speed of the engine
+	busyUntil time.Time         // when the engine will have prefilled what was sent
+	interval  forecast.Interval // uninterrupted work up to what was sent last
+	Pace      forecast.Prefill  // the learned speed of the engine
 	shares    *teamShares
 }
 
 // New returns the queue of an engine that is configured to prefill tokensPerSecond. weight returns
 // the configured weight of a team.
 func New(weight func(team uint32) float64, tokensPerSecond float64) *Queue {
-	return &Queue{inFlight: map[request.Attempt]*sentRequest{}, shares: newTeamShares(weight), Pace: forecast.NewReading(tokensPerSecond)}
+	return &Queue{inFlight: map[request.Attempt]*sentRequest{}, shares: newTeamShares(weight), Pace: forecast.NewPrefill(tokensPerSecond)}
 }
 
 // Lookahead is how much work is sent ahead to the engine, so that it never idles while waiting for
@@ -177,7 +177,7 @@
 		q.Take(it)
 		send = append(send, it)
 		if !q.busyUntil.After(now) {
-			q.interval = forecast.Stretch{From: now}
+			q.interval = forecast.Interval{From: now}
 		}
 		q.interval.Tokens += it.Tokens
 		q.sent++
--- a/region/leave.go
+++ b/region/leave.go
@@ -7,15 +7,15 @@
 
 // The verdicts.
 const (
-	InTime     Verdict = iota // in time there, by forecast
-	LastResort                // no capacity is known there, but the request's own region has no endpoint at all
-	NotAllowed                // not one of the request's allowed regions
-	NoEndpoint                // no endpoint there is eligible for the request, or the region is cut off
-	Unknown                   // no recent summary of it
-	TooLate                   // too late there, by forecast
-	NoCapacity                // it offers no capacity
-	ShareUsed                 // this host has used its share of the offered capacity
-	Verdicts                  // number of verdicts
+	InTime       Verdict = iota // in time there, by forecast
+	LastResort                  // no capacity is known there, but the request's own region has no endpoint at all
+	NotAllowed                  // not one of the request's allowed regions
+	NoEndpoint                  // no endpoint there is eligible for the request, or the region is cut off
+	Unknown                     // no recent summary of it
+	TooLate                     // too late there, by forecast
+	NoCapacity                  // it offers no capacity
+	ShareUsed                   // this host has used its share of the offered capacity
+	VerdictCount                // number of verdicts
 )
 
 // String returns the verdict as operators see it.
@@ -46,21 +46,21 @@
 
 // Need describes a request that its own region can't serve in time.
 type Need struct {
-	Left     time.Duration // until the answer, or its first chunk, is due
-	Work     time.Duration // prefill and transfer, without queueing
-	Homeless bool          // its own region has no eligible endpoint
+	TimeLeft        time.Duration // until the answer, or its first chunk, is due
+	Work            time.Duration // prefill and transfer, without queueing
+	NoLocalEndpoint bool          // its own region has no eligible endpoint
 }
 
-// There is a remote region as a host sees it for one request.
-type There struct {
+// RemoteRegion is a remote region as a host sees it for one request.
+type RemoteRegion struct {
 	Summary
-	Known   bool          // a summary was received
-	Age     time.Duration // of the summary
-	Detour  time.Duration // added latency of a request that is redirected, both ways
-	Sent    int           // requests that this host has sent there since the summary was made
-	Askers  int           // hosts of the regions that lack capacity, which share the offer
-	Allowed bool          // one of the request's allowed regions
-	Open    int           // eligible endpoints there
+	Known             bool          // a summary was received
+	Age               time.Duration // of the summary
+	Detour            time.Duration // added latency of a request that is redirected, both ways
+	Sent              int           // requests that this host has sent there since the summary was made
+	Requesters        int           // hosts of the regions that lack capacity, which share the offer
+	Allowed           bool          // one of the request's allowed regions
+	EligibleEndpoints int           // eligible endpoints there
 }
 
 // shareFactor is the factor by which a host may exceed its even share of an offer. Requests reach
@@ -70,8 +70,8 @@
 // Share returns how many requests a host may send to a region on one summary: its share of the
 // offered capacity, weighted by trust. The next summary takes those requests into account. draw,
 // in [0, 1), decides whether a fraction is rounded up.
-func (r *There) Share(draw float64) int {
-	part := shareFactor * float64(r.Places) * Trust(r.Age) / float64(max(1, r.Askers))
+func (r *RemoteRegion) Share(draw float64) int {
+	part := shareFactor * float64(r.Capacity) * Trust(r.Age) / float64(max(1, r.Requesters))
 	whole := int(part)
 	if draw < part-float64(whole) {
 		whole++
@@ -79,24 +79,24 @@
 	return whole
 }
 
-// Judge returns whether a request may be redirected to a region, and why.
-func Judge(n Need, r *There, draw float64) Verdict {
+// Evaluate returns whether a request may be redirected to a region, and why.
+func Evaluate(n Need, r *RemoteRegion, draw float64) Verdict {
 	known := r.Known && Trust(r.Age) > 0
 	wait := time.Duration(r.WaitMillis) * time.Millisecond
 	switch {
 	case !r.Allowed:
 		return NotAllowed
-	case r.Open == 0:
+	case r.EligibleEndpoints == 0:
 		return NoEndpoint
-	case r.Detour+n.Work > n.Left:
+	case r.Detour+n.Work > n.TimeLeft:
 		return TooLate
-	case n.Homeless && (!known || r.Places == 0 || r.Sent >= r.Share(draw)):
+	case n.NoLocalEndpoint && (!known || r.Capacity == 0 || r.Sent >= r.Share(draw)):
 		return LastResort // the request can't be served otherwise, and the owner there can still refuse
 	case !known:
 		return Unknown
-	case wait+r.Detour+n.Work > n.Left:
+	case wait+r.Detour+n.Work > n.TimeLeft:
 		return TooLate
-	case r.Places == 0:
+	case r.Capacity == 0:
 		return NoCapacity
 	case r.Sent >= r.Share(draw):
 		return ShareUsed
@@ -110,15 +110,15 @@
 // Choose returns the index of the region that a request is redirected to, -1 if it stays, and the
 // verdict of each. It draws at random, weighted by offered capacity and trust, so that hosts with
 // the same view don't all choose the region that offers most. Both draws are in [0, 1).
-func Choose(n Need, list []There, drawShare, drawRegion float64) (int, []Verdict) {
+func Choose(n Need, list []RemoteRegion, drawShare, drawRegion float64) (int, []Verdict) {
 	verdicts := make([]Verdict, len(list))
 	weights := make([]float64, len(list))
 	sum := 0.0
 	for i := range list {
 		r := &list[i]
-		switch verdicts[i] = Judge(n, r, drawShare); verdicts[i] {
+		switch verdicts[i] = Evaluate(n, r, drawShare); verdicts[i] {
 		case InTime:
-			weights[i] = float64(r.Places) * Trust(r.Age)
+			weights[i] = float64(r.Capacity) * Trust(r.Age)
 		case LastResort:
 			weights[i] = unknownWeight
 		}
--- a/region/region.go
+++ b/region/region.go
@@ -22,7 +22,7 @@
 type Summary struct {
 	Region     uint32 // config.NameNumber of its name
 	Pool       uint32 // PoolNumber
-	Places     uint32 // requests of all other regions together that it would accept now
+	Capacity   uint32 // requests of all other regions together that it would accept now
 	WaitMillis uint32 // until one of them begins; plain services: total time of a call
 	AgeMillis  uint32
 }
@@ -66,7 +66,7 @@
 )
 
 // offeredRequests returns how many requests a decode engine that accepts them adds to the offer.
-func offeredRequests(r Room) int {
+func offeredRequests(r DecodeCapacity) int {
 	left := float64(r.Free)/float64(max(1, r.Memory)) - ownShare
 	return min(max(1, int(perIdleDecode*left)), maxPerDecode)
 }
@@ -141,28 +141,28 @@
 // addEndpoint counts one endpoint. One that is cold or names a limit counts as not free: its
 // capacity is given out by start permits, which are for callers of its own region.
 func (p *pool) addEndpoint(s *route.State, now time.Time) {
-	open := !s.IsLeaving() && !s.Evacuated && !s.IsResting(now) && !s.Cold(now) && !s.Limited(now) && s.Digest.Flags == 0 && !now.Before(s.CutOff) && !s.Seen.Shunned(now)
+	open := !s.IsLeaving() && !s.Evacuated && !s.IsBackingOff(now) && !s.IsCold(now) && !s.IsLimited(now) && s.Digest.Flags == 0 && !now.Before(s.CutOffUntil) && !s.Calls.IsUnreachable(now)
 	if s.Role == config.Service {
-		if s.Seen.Took > 0 {
-			took := time.Duration(s.Seen.Took * float64(time.Second))
-			p.service.add(open && !now.Before(s.Seen.Full) && s.Seen.Failing(now) < maxFailing, requestsPerService, took)
+		if s.Calls.MeanSeconds > 0 {
+			took := time.Duration(s.Calls.MeanSeconds * float64(time.Second))
+			p.service.add(open && !now.Before(s.Calls.FullUntil) && s.Calls.FailureRate(now) < maxFailing, requestsPerService, took)
 		}
 		return
 	}
 	age := s.Age(now)
-	if s.At.IsZero() || age > maxDigestAge {
+	if s.DigestAt.IsZero() || age > maxDigestAge {
 		return
 	}
 	p.age = max(p.age, age)
 	d := &s.Digest
 	if s.Role == config.Prefill {
 		queue := time.Duration(d.QueueMillis) * time.Millisecond
-		p.prefill.add(open && TakesTurn(queue), requestsPerPrefill, queue)
+		p.prefill.add(open && AcceptsPrefill(queue), requestsPerPrefill, queue)
 		return
 	}
-	room := Room{Free: int(d.FreeTokens), Memory: s.Spec.MemoryTokens, Slots: int(d.FreeSlots), AllSlots: s.Spec.Slots,
+	room := DecodeCapacity{Free: int(d.FreeTokens), Memory: s.Spec.MemoryTokens, Slots: int(d.FreeSlots), TotalSlots: s.Spec.Slots,
 		Wait: time.Duration(d.WaitMillis) * time.Millisecond}
-	p.decode.add(open && TakesRoom(room), offeredRequests(room), 0)
+	p.decode.add(open && AcceptsDecode(room), offeredRequests(room), 0)
 }
 
 // maxFailing is the share of failed calls from which an endpoint of a service is not offered.
@@ -171,7 +171,7 @@
 // summary returns the summary of the pool, and whether anything is known.
 func (p *pool) summary() (s Summary, known bool) {
 	if p.service.all > 0 {
-		return Summary{Places: uint32(p.service.offered()), WaitMillis: uint32(p.service.meanWait().Milliseconds())}, true
+		return Summary{Capacity: uint32(p.service.offered()), WaitMillis: uint32(p.service.meanWait().Milliseconds())}, true
 	}
 	if p.decode.all == 0 {
 		return Summary{}, p.prefill.all > 0
@@ -180,5 +180,5 @@
 	if p.prefill.all > 0 {
 		capacity = min(capacity, p.prefill.offered())
 	}
-	return Summary{Places: uint32(capacity), WaitMillis: uint32(p.prefill.meanWait().Milliseconds()), AgeMillis: uint32(p.age.Milliseconds() / 2)}, true
+	return Summary{Capacity: uint32(capacity), WaitMillis: uint32(p.prefill.meanWait().Milliseconds()), AgeMillis: uint32(p.age.Milliseconds() / 2)}, true
 }
--- a/region/region_test.go
+++ b/region/region_test.go
@@ -14,34 +14,34 @@
 // TestJudge checks whether a request is redirected to a region, by what the host knows of it. The
 // request has 600 ms left, and its prompt takes 100 ms.
 func TestJudge(t *testing.T) {
-	need := Need{Left: 600 * ms, Work: 100 * ms}
+	need := Need{TimeLeft: 600 * ms, Work: 100 * ms}
 	cases := []struct {
 		name string
-		see  func(n *Need, r *There)
+		see  func(n *Need, r *RemoteRegion)
 		want Verdict
 	}{
-		{"capacity is free", func(*Need, *There) {}, InTime},
-		{"not an allowed region", func(_ *Need, r *There) { r.Allowed = false }, NotAllowed},
-		{"no eligible endpoint", func(_ *Need, r *There) { r.Open = 0 }, NoEndpoint},
-		{"a long queue there", func(_ *Need, r *There) { r.WaitMillis = 450 }, TooLate},
-		{"a long detour", func(_ *Need, r *There) { r.Detour = 520 * ms }, TooLate},
-		{"little time left", func(n *Need, _ *There) { n.Left = 150 * ms }, TooLate},
-		{"nothing offered", func(_ *Need, r *There) { r.Places = 0 }, NoCapacity},
-		{"nothing known", func(_ *Need, r *There) { r.Known = false }, Unknown},
-		{"the share of this host is used, and no local endpoint", func(n *Need, r *There) { r.Sent, n.Homeless = 8, true }, LastResort},
-		{"too late there, and no local endpoint", func(n *Need, r *There) { r.WaitMillis, n.Homeless = 450, true }, TooLate},
-		{"nothing known, and no local endpoint", func(n *Need, r *There) { r.Known, n.Homeless = false, true }, LastResort},
-		{"an expired summary", func(_ *Need, r *There) { r.Age = maxTrustAge }, Unknown},
-		{"the share of this host is used", func(_ *Need, r *There) { r.Sent = 8 }, ShareUsed},
-		{"a smaller share of an old offer", func(_ *Need, r *There) { r.Sent, r.Age = 2, 2*trustHalfLife }, ShareUsed},
-		{"nothing offered, and no local endpoint", func(n *Need, r *There) { r.Places, n.Homeless = 0, true }, LastResort},
+		{"capacity is free", func(*Need, *RemoteRegion) {}, InTime},
+		{"not an allowed region", func(_ *Need, r *RemoteRegion) { r.Allowed = false }, NotAllowed},
+		{"no eligible endpoint", func(_ *Need, r *RemoteRegion) { r.EligibleEndpoints = 0 }, NoEndpoint},
+		{"a long queue there", func(_ *Need, r *RemoteRegion) { r.WaitMillis = 450 }, TooLate},
+		{"a long detour", func(_ *Need, r *RemoteRegion) { r.Detour = 520 * ms }, TooLate},
+		{"little time left", func(n *Need, _ *RemoteRegion) { n.TimeLeft = 150 * ms }, TooLate},
+		{"nothing offered", func(_ *Need, r *RemoteRegion) { r.Capacity = 0 }, NoCapacity},
+		{"nothing known", func(_ *Need, r *RemoteRegion) { r.Known = false }, Unknown},
+		{"the share of this host is used, and no local endpoint", func(n *Need, r *RemoteRegion) { r.Sent, n.NoLocalEndpoint = 8, true }, LastResort},
+		{"too late there, and no local endpoint", func(n *Need, r *RemoteRegion) { r.WaitMillis, n.NoLocalEndpoint = 450, true }, TooLate},
+		{"nothing known, and no local endpoint", func(n *Need, r *RemoteRegion) { r.Known, n.NoLocalEndpoint = false, true }, LastResort},
+		{"an expired summary", func(_ *Need, r *RemoteRegion) { r.Age = maxTrustAge }, Unknown},
+		{"the share of this host is used", func(_ *Need, r *RemoteRegion) { r.Sent = 8 }, ShareUsed},
+		{"a smaller share of an old offer", func(_ *Need, r *RemoteRegion) { r.Sent, r.Age = 2, 2*trustHalfLife }, ShareUsed},
+		{"nothing offered, and no local endpoint", func(n *Need, r *RemoteRegion) { r.Capacity, n.NoLocalEndpoint = 0, true }, LastResort},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			n := need
-			r := There{Summary: Summary{Places: 10, WaitMillis: 50}, Known: true, Age: 0, Detour: 100 * ms, Askers: 10, Allowed: true, Open: 3}
+			r := RemoteRegion{Summary: Summary{Capacity: 10, WaitMillis: 50}, Known: true, Age: 0, Detour: 100 * ms, Requesters: 10, Allowed: true, EligibleEndpoints: 3}
 			tc.see(&n, &r)
-			if got := Judge(n, &r, 0.5); got != tc.want {
+			if got := Evaluate(n, &r, 0.5); got != tc.want {
 				t.Errorf("%q, want %q", got, tc.want)
 			}
 		})
@@ -51,15 +51,15 @@
 // TestChoose checks that hosts with the same view spread requests over regions in proportion to the
 // offers, and that none goes to a region without capacity.
 func TestChoose(t *testing.T) {
-	list := []There{
-		{Summary: Summary{Places: 30}, Known: true, Askers: 1, Allowed: true, Open: 1},
-		{Summary: Summary{Places: 0}, Known: true, Askers: 1, Allowed: true, Open: 1},
-		{Summary: Summary{Places: 10}, Known: true, Askers: 1, Allowed: true, Open: 1},
+	list := []RemoteRegion{
+		{Summary: Summary{Capacity: 30}, Known: true, Requesters: 1, Allowed: true, EligibleEndpoints: 1},
+		{Summary: Summary{Capacity: 0}, Known: true, Requesters: 1, Allowed: true, EligibleEndpoints: 1},
+		{Summary: Summary{Capacity: 10}, Known: true, Requesters: 1, Allowed: true, EligibleEndpoints: 1},
 	}
 	var chosen [3]int
 	const draws = 100
 	for k := range draws {
-		to, verdicts := Choose(Need{Left: time.Second}, list, 0, float64(k)/draws)
+		to, verdicts := Choose(Need{TimeLeft: time.Second}, list, 0, float64(k)/draws)
 		if to < 0 || verdicts[1] != NoCapacity {
 			t.Fatal(to, verdicts)
 		}
@@ -68,7 +68,7 @@
 	if chosen != [3]int{75, 0, 25} {
 		t.Errorf("chose %v of %d, want them in proportion to the offers", chosen, draws)
 	}
-	if to, _ := Choose(Need{Left: time.Second}, list[1:2], 0, 0); to != -1 {
+	if to, _ := Choose(Need{TimeLeft: time.Second}, list[1:2], 0, 0); to != -1 {
 		t.Errorf("chose %d, which offers nothing", to)
 	}
 }
@@ -81,7 +81,7 @@
 	region := func() []*route.State {
 		var out []*route.State
 		for i := range 6 {
-			s := &route.State{Region: own, Role: config.Decode, Spec: &config.Endpoint{Pool: "p", MemoryTokens: 1000, Slots: 10}, At: now.Add(-time.Second)}
+			s := &route.State{Region: own, Role: config.Decode, Spec: &config.Endpoint{Pool: "p", MemoryTokens: 1000, Slots: 10}, DigestAt: now.Add(-time.Second)}
 			s.Digest.FreeTokens, s.Digest.FreeSlots = 400, 5 // counts as two requests
 			if i < 2 {
 				s.Role, s.Digest.QueueMillis = config.Prefill, 100
@@ -119,12 +119,12 @@
 		}, 0, true},
 		{"nothing is known", func(s []*route.State) {
 			for i := range s {
-				s[i].At = time.Time{}
+				s[i].DigestAt = time.Time{}
 			}
 		}, 0, false},
 		{"all digests are old", func(s []*route.State) {
 			for i := range s {
-				s[i].At = now.Add(-time.Minute)
+				s[i].DigestAt = now.Add(-time.Minute)
 			}
 		}, 0, false},
 		{"another region's", func(s []*route.State) {
@@ -141,7 +141,7 @@
 			if known := len(got) > 0; known != tc.known {
 				t.Fatalf("summaries %v, want some: %v", got, tc.known)
 			}
-			if tc.known && (got[0].Places != tc.want || got[0].Region != 7 || got[0].Pool != PoolNumber("p", "")) {
+			if tc.known && (got[0].Capacity != tc.want || got[0].Region != 7 || got[0].Pool != PoolNumber("p", "")) {
 				t.Errorf("summary %+v, want a capacity of %d", got, tc.want)
 			}
 		})
@@ -151,19 +151,19 @@
 // TestOwnFirst checks that an endpoint accepts requests of other regions only while it has capacity
 // beyond what is reserved for its own.
 func TestOwnFirst(t *testing.T) {
-	if !TakesTurn(100*ms) || TakesTurn(maxPrefillQueue+ms) {
+	if !AcceptsPrefill(100*ms) || AcceptsPrefill(maxPrefillQueue+ms) {
 		t.Error("turns")
 	}
-	room := Room{Free: 400, Memory: 1000, Slots: 5, AllSlots: 10, Need: 300}
-	if !TakesRoom(room) {
+	room := DecodeCapacity{Free: 400, Memory: 1000, Slots: 5, TotalSlots: 10, Need: 300}
+	if !AcceptsDecode(room) {
 		t.Errorf("%+v is refused", room)
 	}
-	for _, less := range []Room{
-		{Free: 390, Memory: 1000, Slots: 5, AllSlots: 10, Need: 300},
-		{Free: 400, Memory: 1000, Slots: 1, AllSlots: 10, Need: 300},
-		{Free: 400, Memory: 1000, Slots: 5, AllSlots: 10, Need: 300, Wait: 50 * ms},
+	for _, less := range []DecodeCapacity{
+		{Free: 390, Memory: 1000, Slots: 5, TotalSlots: 10, Need: 300},
+		{Free: 400, Memory: 1000, Slots: 1, TotalSlots: 10, Need: 300},
+		{Free: 400, Memory: 1000, Slots: 5, TotalSlots: 10, Need: 300, Wait: 50 * ms},
 	} {
-		if TakesRoom(less) {
+		if AcceptsDecode(less) {
 			t.Errorf("%+v is accepted", less)
 		}
 	}
--- a/region/take.go
+++ b/region/take.go
@@ -11,24 +11,24 @@
 // typical load counted as full because of bursty arrivals, and the regions offered nothing.
 const maxPrefillQueue = 400 * time.Millisecond
 
-// TakesTurn reports whether a prefill engine with this much queued work accepts prompts of other
+// AcceptsPrefill reports whether a prefill engine with this much queued work accepts prompts of other
 // regions.
-func TakesTurn(queued time.Duration) bool { return queued <= maxPrefillQueue }
+func AcceptsPrefill(queued time.Duration) bool { return queued <= maxPrefillQueue }
 
-// Room is the free capacity of a decode engine, in tokens and requests.
-type Room struct {
-	Free, Memory    int
-	Slots, AllSlots int
-	Wait            time.Duration // until there is capacity for a request of typical size
-	Need            int           // of the request; 0: not a specific request
+// DecodeCapacity is the free capacity of a decode engine, in tokens and requests.
+type DecodeCapacity struct {
+	Free, Memory      int
+	Slots, TotalSlots int
+	Wait              time.Duration // until there is capacity for a request of typical size
+	Need              int           // of the request; 0: not a specific request
 }
 
 // ownShare is the share of a decode engine's memory and slots that is reserved for callers of its
 // own region.
 const ownShare = 0.1
 
-// TakesRoom reports whether a decode engine accepts a request of another region.
-func TakesRoom(r Room) bool {
+// AcceptsDecode reports whether a decode engine accepts a request of another region.
+func AcceptsDecode(r DecodeCapacity) bool {
 	left := float64(r.Free - r.Need)
-	return r.Wait == 0 && left >= ownShare*float64(r.Memory) && float64(r.Slots) > ownShare*float64(r.AllSlots)
+	return r.Wait == 0 && left >= ownShare*float64(r.Memory) && float64(r.Slots) > ownShare*float64(r.TotalSlots)
 }
--- a/retry/budgets.go
+++ b/retry/budgets.go
@@ -42,8 +42,8 @@
 	return b.window.Seconds > 0
 }
 
-// Set changes the window. A different window drops all counts.
-func (b *Budgets) Set(w config.RetryBudget) {
+// SetWindow changes the window. A different window drops all counts.
+func (b *Budgets) SetWindow(w config.RetryBudget) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.window != w {
@@ -130,8 +130,8 @@
 	return u
 }
 
-// Count counts a request for a pool.
-func (b *Budgets) Count(pool string, now time.Time) {
+// CountRequest counts a request for a pool.
+func (b *Budgets) CountRequest(pool string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.window.Seconds == 0 {
@@ -141,8 +141,8 @@
 	u.requests[u.slice%windowSlices]++
 }
 
-// Further spends n retries of a pool, if the window has that many left.
-func (b *Budgets) Further(pool string, now time.Time, n int) bool {
+// SpendInWindow spends n retries of a pool, if the window has that many left.
+func (b *Budgets) SpendInWindow(pool string, now time.Time, n int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.window.Seconds == 0 || n == 0 {
--- a/retry/comeback.go
+++ b/retry/comeback.go
@@ -8,11 +8,11 @@
 	"github.com/embercove/embercove/result"
 )
 
-// ComeBack forecasts when a request that was refused for lack of capacity should be retried. Full
+// Delay forecasts when a request that was refused for lack of capacity should be retried. Full
 // engines accept new requests when their running ones end, and an earlier retry mostly finds them
 // still full. So the delay is the typical time of an answer. It is randomized, so that callers that
 // were refused together don't retry together.
-type ComeBack struct {
+type Delay struct {
 	mu    sync.Mutex
 	pools map[string]time.Duration // average time of an answer
 }
@@ -24,11 +24,11 @@
 	maxSpread    = 1.5
 )
 
-// NewComeBack returns a forecast without observations.
-func NewComeBack() *ComeBack { return &ComeBack{pools: map[string]time.Duration{}} }
+// NewDelay returns a forecast without observations.
+func NewDelay() *Delay { return &Delay{pools: map[string]time.Duration{}} }
 
 // Learn records how long a complete answer took.
-func (c *ComeBack) Learn(pool string, took time.Duration) {
+func (c *Delay) Learn(pool string, took time.Duration) {
 	if took <= 0 {
 		return
 	}
@@ -42,7 +42,7 @@
 }
 
 // After returns the delay before a retry at a pool. It is at least the one that owners reported.
-func (c *ComeBack) After(pool string, reported time.Duration) time.Duration {
+func (c *Delay) After(pool string, reported time.Duration) time.Duration {
 	c.mu.Lock()
 	typical := c.pools[pool]
 	c.mu.Unlock()
@@ -50,5 +50,5 @@
 	return max(reported, time.Duration(spread*float64(typical)))
 }
 
-// LacksRoom reports whether a request was refused for lack of capacity.
-func LacksRoom(c result.Code) bool { return c == result.TooLate || c == result.NoDecodeMemory }
+// LacksCapacity reports whether a request was refused for lack of capacity.
+func LacksCapacity(c result.Code) bool { return c == result.TooLate || c == result.NoDecodeMemory }
--- a/retry/comeback_test.go
+++ b/retry/comeback_test.go
@@ -24,7 +24,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			c := NewComeBack()
+			c := NewDelay()
 			for _, took := range tc.answers {
 				c.Learn("p", took)
 			}
@@ -41,7 +41,7 @@
 			}
 		})
 	}
-	if !LacksRoom(result.TooLate) || !LacksRoom(result.NoDecodeMemory) || LacksRoom(result.NoEndpoint) || LacksRoom(result.Draining) {
+	if !LacksCapacity(result.TooLate) || !LacksCapacity(result.NoDecodeMemory) || LacksCapacity(result.NoEndpoint) || LacksCapacity(result.Draining) {
 		t.Error("only refusals for lack of capacity get the typical time of an answer")
 	}
 }
--- a/roles/looks.go
+++ b/roles/looks.go
@@ -6,8 +6,8 @@
 	"github.com/embercove/embercove/config"
 )
 
-// Looks holds recent samples of how far a pool is out of balance. The zero value has none.
-type Looks struct{ samples []sample }
+// History holds recent samples of how far a pool is out of balance. The zero value has none.
+type History struct{ samples []sample }
 
 // sample is how many runners of a pool should have changed to a role at a time.
 type sample struct {
@@ -21,10 +21,10 @@
 	maxGap      = 1500 * time.Millisecond // three times the sampling interval; after a longer gap, earlier samples are dropped
 )
 
-// Lasting records a sample and returns how many runners should change to the role: the minimum
+// Record records a sample and returns how many runners should change to the role: the minimum
 // over the last minDuration, 0 if the direction changed or the samples don't go back that far. In
 // a large pool the number varies all the time; the minimum is the part of the imbalance that lasts.
-func (l *Looks) Lasting(n int, to config.Role, now time.Time) int {
+func (l *History) Record(n int, to config.Role, now time.Time) int {
 	if k := len(l.samples); k > 0 && now.Sub(l.samples[k-1].at) > maxGap {
 		l.samples = nil
 	}
--- a/roles/roles_test.go
+++ b/roles/roles_test.go
@@ -190,13 +190,13 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-			history, got := new(Looks), 0
+			history, got := new(History), 0
 			for i, n := range tc.samples {
 				to := config.Prefill
 				if n < 0 {
 					n, to = -n, config.Decode
 				}
-				got = history.Lasting(n, to, start.Add(time.Duration(i)*500*time.Millisecond))
+				got = history.Record(n, to, start.Add(time.Duration(i)*500*time.Millisecond))
 			}
 			if got != tc.want {
 				t.Errorf("%d, want %d", got, tc.want)
--- a/route/baseline.go
+++ b/route/baseline.go
@@ -7,9 +7,9 @@
 	"github.com/embercove/embercove/config"
 )
 
-// PickOne chooses one of the eligible endpoints by a baseline policy, without regard to
+// PickBaseline chooses one of the eligible endpoints by a baseline policy, without regard to
 // reservations. counter is used by round robin. It returns nil if no endpoint is eligible.
-func PickOne(list []*State, mode config.PolicyMode, counter uint64, r *Request) *State {
+func PickBaseline(list []*State, mode config.PolicyMode, counter uint64, r *Request) *State {
 	var open []*State
 	for _, s := range list {
 		if eligibleForModel(s, r) {
@@ -40,11 +40,11 @@
 // knownLoad returns the load by the last digest plus this host's own requests in flight.
 func knownLoad(s *State) float64 {
 	if s.Role == config.Prefill {
-		return float64(s.Digest.QueueMillis) + 50*float64(s.Sent)
+		return float64(s.Digest.QueueMillis) + 50*float64(s.InFlight)
 	}
 	used := 1 - float64(s.Digest.FreeTokens)/float64(max(1, s.Spec.MemoryTokens))
-	if s.At.IsZero() {
+	if s.DigestAt.IsZero() {
 		used = 0
 	}
-	return used + float64(s.Sent)/float64(max(1, s.Spec.Slots))
+	return used + float64(s.InFlight)/float64(max(1, s.Spec.Slots))
 }
--- a/route/draw.go
+++ b/route/draw.go
@@ -48,7 +48,7 @@
 			count(s)
 		}
 	}
-	draw(l.In(r.Home), f.sampling.inDomain, r.drawSeed(), count)
+	draw(l.InFailureDomain(r.EntryDomain), f.sampling.inDomain, r.drawSeed(), count)
 	draw(l.All(), f.sampling.anywhere, r.drawSeed()+1, count)
 	return open
 }
@@ -57,7 +57,7 @@
 // endpoints, so that each attempt samples others.
 func (r *Request) drawSeed() uint64 {
 	n := uint64(0)
-	for n < MostExcluded && r.Exclude[n] != 0 {
+	for n < MaxExcluded && r.Exclude[n] != 0 {
 		n++
 	}
 	return r.Seed ^ n<<40
--- a/route/draw_test.go
+++ b/route/draw_test.go
@@ -53,12 +53,12 @@
 	v := oneDomain(t, 2000)
 	f := NewFleet(v)
 	for s := range f.All() {
-		s.At = now.Add(-time.Second)
+		s.DigestAt = now.Add(-time.Second)
 		s.Digest.FreeTokens, s.Digest.FreeSlots = 50000, 10
 	}
 	holder := f.Find(Number("p1234"))
 	learn := func(heads []HeadDigest) {
-		f.Learn(Digest{Number: holder.Number, Heads: heads, TrustPct: 100}, now)
+		f.UpdateDigest(Digest{Number: holder.Number, Heads: heads, TrustPct: 100}, now)
 	}
 	picks := func(seed uint64) *config.Endpoint {
 		r := &Request{Group: f.routes["all"], Model: "m", Tokens: 3000, MaxAnswer: 100, Region: v.RegionSet("r"), Now: now, Head: 77, HasHead: true, Seed: seed}
@@ -70,7 +70,7 @@
 			t.Fatalf("seed %d: prefill at %s, want %s, which has it cached", seed, got.Name, holder.Spec.Name)
 		}
 	}
-	f.Learn(Digest{Number: holder.Number, Heads: []HeadDigest{{78, 3000}}, TrustPct: 100}, now.Add(1))
+	f.UpdateDigest(Digest{Number: holder.Number, Heads: []HeadDigest{{78, 3000}}, TrustPct: 100}, now.Add(1))
 	if len(f.heads[77]) > 0 {
 		t.Errorf("the engine evicted the prompt, and is still indexed for it: %v", f.heads[77])
 	}
--- a/route/explain.go
+++ b/route/explain.go
@@ -14,7 +14,7 @@
 	Role     config.Role `json:"role"`
 	Domain   string      `json:"failure_domain"`
 	Cost     float64     `json:"cost_s"` // -1 if it is excluded
-	Why      string      `json:"why,omitempty"`
+	Reason   string      `json:"why,omitempty"`
 	Queue    float64     `json:"queue_s"`
 	Uncached int         `json:"uncached_tokens"`
 	Free     int32       `json:"free_tokens"`
@@ -31,16 +31,16 @@
 	v, c := f.View, f.Pick(r)
 	var out []Candidate
 	for _, s := range slices.Concat(r.Group.Prefill.All(), r.Group.Decode.All()) {
-		row := Candidate{Endpoint: s.Spec.Name, Role: s.Role, Domain: s.Spec.Domain, Cost: -1, Why: explainReason(s, r),
-			Queue: float64(s.Digest.QueueMillis) / 1000, Free: s.Digest.FreeTokens, Age: -1, Cold: s.ColdFor(r.Now).Seconds(),
+		row := Candidate{Endpoint: s.Spec.Name, Role: s.Role, Domain: s.Spec.Domain, Cost: -1, Reason: explainReason(s, r),
+			Queue: float64(s.Digest.QueueMillis) / 1000, Free: s.Digest.FreeTokens, Age: -1, Cold: s.ColdRemaining(r.Now).Seconds(),
 			Chosen: s.Spec == c.Prefill || s.Spec == c.Decode}
-		if !s.At.IsZero() {
-			row.Age = math.Round(r.Now.Sub(s.At).Seconds()*1000) / 1000
+		if !s.DigestAt.IsZero() {
+			row.Age = math.Round(r.Now.Sub(s.DigestAt).Seconds()*1000) / 1000
 		}
 		if w := s.Limit.Word(); w.Named {
 			row.Limit = &w.PerSecond
 		}
-		if row.Why == "" {
+		if row.Reason == "" {
 			row.Cost = decodeCost(v, s, r)
 			if s.Role == config.Prefill {
 				row.Cost = prefillCost(v, s, r)
@@ -64,7 +64,7 @@
 
 // explainReason returns why a request can't go to an endpoint, or "".
 func explainReason(s *State, r *Request) string {
-	if b := Barred(s, r); b != BarNone {
+	if b := IneligibleReason(s, r); b != ReasonNone {
 		return b.String()
 	}
 	if !s.Spec.Serves(r.Model) {
--- a/route/fleet.go
+++ b/route/fleet.go
@@ -31,8 +31,8 @@
 	Prefill, Decode, Service List
 }
 
-// Of returns the list for a role.
-func (g *Group) Of(r config.Role) *List {
+// ForRole returns the list for a role.
+func (g *Group) ForRole(r config.Role) *List {
 	switch r {
 	case config.Prefill:
 		return &g.Prefill
@@ -46,7 +46,7 @@
 func NewFleet(v *config.View) *Fleet {
 	f := &Fleet{cutOff: map[string]time.Time{}, wrongState: map[uint32]bool{}, heads: headIndex{}, sampling: defaultSampling, notices: map[uint32]*Notices{}}
 	if v != nil {
-		f.Fit(v, time.Time{})
+		f.SetView(v, time.Time{})
 	}
 	return f
 }
@@ -60,8 +60,8 @@
 // All yields all states, in no order.
 func (f *Fleet) All() iter.Seq[*State] { return maps.Values(f.states) }
 
-// In yields the states of a failure domain.
-func (f *Fleet) In(domain string) iter.Seq[*State] {
+// InFailureDomain yields the states of a failure domain.
+func (f *Fleet) InFailureDomain(domain string) iter.Seq[*State] {
 	return func(yield func(*State) bool) {
 		if f.View == nil {
 			return
@@ -83,11 +83,11 @@
 	return f.pools[pool]
 }
 
-// Alike returns the endpoints with the same pool, role and failure domain as an endpoint. If
+// Siblings returns the endpoints with the same pool, role and failure domain as an endpoint. If
 // the document has no such pool, it returns those of all domains.
-func (f *Fleet) Alike(e *config.Endpoint) (out []*State) {
+func (f *Fleet) Siblings(e *config.Endpoint) (out []*State) {
 	if g := f.pools[e.Pool]; g != nil {
-		return g.Of(e.Role).In(max(0, f.View.DomainIndex(e.Domain)))
+		return g.ForRole(e.Role).InFailureDomain(max(0, f.View.DomainIndex(e.Domain)))
 	}
 	for _, s := range f.states {
 		if s.Role == e.Role && s.Spec.Pool == e.Pool {
@@ -97,9 +97,9 @@
 	return out
 }
 
-// Fit switches to another view and keeps what is known of endpoints that stay. It updates only
+// SetView switches to another view and keeps what is known of endpoints that stay. It updates only
 // endpoints that differ, unless the new document changes the layout.
-func (f *Fleet) Fit(v *config.View, now time.Time) {
+func (f *Fleet) SetView(v *config.View, now time.Time) {
 	old := f.View
 	if old == v {
 		return
@@ -156,7 +156,7 @@
 		f.routes[r.Name] = g
 		for number, e := range f.View.Endpoints.All() {
 			if s := f.states[number]; r.Selects(e) {
-				g.Of(s.Role).add(s)
+				g.ForRole(s.Role).add(s)
 			}
 		}
 	}
@@ -185,11 +185,11 @@
 // addToLists adds a state to the lists of its pool and of the routes that select it.
 func (f *Fleet) addToLists(s *State) {
 	if g := f.pools[s.Spec.Pool]; g != nil {
-		g.Of(s.Role).add(s)
+		g.ForRole(s.Role).add(s)
 	}
 	for name, g := range f.routes {
 		if f.View.RouteByName(name).Selects(s.Spec) {
-			g.Of(s.Role).add(s)
+			g.ForRole(s.Role).add(s)
 		}
 	}
 }
@@ -197,10 +197,10 @@
 // removeFromLists removes a state from all lists.
 func (f *Fleet) removeFromLists(s *State) {
 	if g := f.pools[s.Spec.Pool]; g != nil {
-		g.Of(s.Role).remove(s)
+		g.ForRole(s.Role).remove(s)
 	}
 	for _, g := range f.routes {
-		g.Of(s.Role).remove(s)
+		g.ForRole(s.Role).remove(s)
 	}
 }
 
@@ -208,7 +208,7 @@
 func (f *Fleet) newState(number uint32, e *config.Endpoint, old *State, now time.Time) *State {
 	v := f.View
 	s := &State{Number: number, Domain: max(0, v.DomainIndex(e.Domain)), Region: v.RegionSet(v.Region[e.Domain]), Role: e.Role,
-		Spec: e, Leaving: e.Leaving, Evacuated: v.Emptied(e), Own: f.owns(number), CutOff: f.cutOff[e.Domain], ColdUntil: e.ColdUntil, Notices: f.noticesFor(number, e.Born), Digest: Digest{Number: number}}
+		Spec: e, Leaving: e.Leaving, Evacuated: v.Emptied(e), Owned: f.owns(number), CutOffUntil: f.cutOff[e.Domain], ColdUntil: e.ColdUntil, Notices: f.noticesFor(number, e.Born), Digest: Digest{Number: number}}
 	if p := v.Pools[e.Pool]; p != nil {
 		s.Connections = p.Connections
 	}
@@ -223,12 +223,12 @@
 // inherit carries over what was known of the endpoint under another view.
 func (s *State) inherit(old *State, now time.Time) {
 	if old.Role == s.Role { // else the digest describes another kind of work
-		s.Digest, s.At = old.Digest, old.At
+		s.Digest, s.DigestAt = old.Digest, old.DigestAt
 	}
-	s.Sent, s.Seen, s.UnconfirmedUntil = old.Sent, old.Seen, old.UnconfirmedUntil
-	s.MaybeCold, s.NoStart, s.Back = old.MaybeCold, old.NoStart, old.Back
+	s.InFlight, s.Calls, s.UnconfirmedUntil = old.InFlight, old.Calls, old.UnconfirmedUntil
+	s.MaybeColdUntil, s.NoPermitUntil, s.RetryAt = old.MaybeColdUntil, old.NoPermitUntil, old.RetryAt
 	s.Limit, s.LimitedUntil = old.Limit, old.LimitedUntil
-	s.LimitTold, s.LimitNews = old.LimitTold, old.LimitNews
+	s.LimitReportedAt, s.LimitAnnouncedAt = old.LimitReportedAt, old.LimitAnnouncedAt
 	s.Limit.Restarted(s.Spec.Born)
 	if old.Evacuated && !s.Evacuated {
 		s.AssumeCold(now)
@@ -247,8 +247,8 @@
 	}
 }
 
-// SetOwn records whether this host owns an endpoint, which may belong to a later view.
-func (f *Fleet) SetOwn(number uint32, own bool) {
+// SetOwned records whether this host owns an endpoint, which may belong to a later view.
+func (f *Fleet) SetOwned(number uint32, own bool) {
 	at, there := slices.BinarySearch(f.owned, number)
 	switch {
 	case own && !there:
@@ -257,20 +257,20 @@
 		f.owned = slices.Delete(f.owned, at, at+1)
 	}
 	if s := f.states[number]; s != nil {
-		s.Own = own
+		s.Owned = own
 	}
 }
 
-// Own yields the endpoints that this host owns.
-func (f *Fleet) Own() iter.Seq[*State] { return f.statesOf(slices.Values(f.owned)) }
+// Owned yields the endpoints that this host owns.
+func (f *Fleet) Owned() iter.Seq[*State] { return f.statesOf(slices.Values(f.owned)) }
 
 func (f *Fleet) owns(number uint32) bool {
 	_, there := slices.BinarySearch(f.owned, number)
 	return there
 }
 
-// Wrong yields the endpoints that aren't in the ordered state.
-func (f *Fleet) Wrong() iter.Seq[*State] { return f.statesOf(maps.Keys(f.wrongState)) }
+// InWrongState yields the endpoints that aren't in the ordered state.
+func (f *Fleet) InWrongState() iter.Seq[*State] { return f.statesOf(maps.Keys(f.wrongState)) }
 
 // statesOf yields the states of numbers that are in the view.
 func (f *Fleet) statesOf(numbers iter.Seq[uint32]) iter.Seq[*State] {
@@ -283,12 +283,12 @@
 	}
 }
 
-// Learn stores a digest, received now at an age of AgeMillis, if it is fresher than the one
+// UpdateDigest stores a digest, received now at an age of AgeMillis, if it is fresher than the one
 // held. It reports whether the digest was stored.
-func (f *Fleet) Learn(d Digest, now time.Time) bool {
+func (f *Fleet) UpdateDigest(d Digest, now time.Time) bool {
 	at := now.Add(-time.Duration(d.AgeMillis) * time.Millisecond)
 	s := f.states[d.Number]
-	if s == nil || !at.After(s.At) {
+	if s == nil || !at.After(s.DigestAt) {
 		return false
 	}
 	if d.Heads == nil {
@@ -296,24 +296,24 @@
 	} else {
 		f.heads.update(s.Number, s.Digest.Heads, d.Heads)
 	}
-	s.Digest, s.At = d, at
+	s.Digest, s.DigestAt = d, at
 	f.trackWrongState(s)
 	return true
 }
 
 func (f *Fleet) trackWrongState(s *State) {
-	if s.Digest.Flags&FlagWrong != 0 {
+	if s.Digest.Flags&FlagWrongState != 0 {
 		f.wrongState[s.Number] = true
 	} else {
 		delete(f.wrongState, s.Number)
 	}
 }
 
-// Drop discards all digests except which prompt heads endpoints have cached.
-func (f *Fleet) Drop() {
+// DropDigests discards all digests except which prompt heads endpoints have cached.
+func (f *Fleet) DropDigests() {
 	for _, s := range f.states {
 		s.Digest = Digest{Number: s.Number, Heads: s.Digest.Heads}
-		s.At = time.Time{}
+		s.DigestAt = time.Time{}
 	}
 	clear(f.wrongState)
 }
@@ -327,7 +327,7 @@
 	}
 	for number := range f.View.InDomain(domain).All() {
 		s := f.states[number]
-		s.CutOff = until
+		s.CutOffUntil = until
 		if until.IsZero() {
 			s.AssumeCold(now)
 		}
--- a/route/fleet_test.go
+++ b/route/fleet_test.go
@@ -61,10 +61,10 @@
 			roster = &next
 			v = v.WithRoster(roster)
 			if rapid.Bool().Draw(t, "apply now") {
-				f.Fit(v, now)
+				f.SetView(v, now)
 			}
 		}
-		f.Fit(v, now)
+		f.SetView(v, now)
 		rebuilt, err := config.NewView(v.Revision, v.Source)
 		if err != nil {
 			t.Fatal(err)
@@ -97,8 +97,8 @@
 	}
 	for name, g := range groups {
 		for _, r := range []config.Role{config.Prefill, config.Decode, config.Service} {
-			l := g.Of(r)
-			rows := [][]*State{l.All(), l.In(0), l.In(1)}
+			l := g.ForRole(r)
+			rows := [][]*State{l.All(), l.InFailureDomain(0), l.InFailureDomain(1)}
 			for i, row := range rows {
 				names := make([]string, 0, len(row))
 				for _, s := range row {
@@ -130,16 +130,16 @@
 	evacuated := *roster
 	evacuated.Revision, evacuated.Evacuated = 2, []config.Evacuation{{Domain: "a", Revision: 2}}
 	v = v.WithRoster(&evacuated)
-	f.Fit(v, now)
+	f.SetView(v, now)
 	s := f.Find(Number("e"))
-	if !s.Evacuated || s.Cold(now) {
-		t.Errorf("evacuated %v, cold %v", s.Evacuated, s.Cold(now))
+	if !s.Evacuated || s.IsCold(now) {
+		t.Errorf("evacuated %v, cold %v", s.Evacuated, s.IsCold(now))
 	}
 	ended := *roster
 	ended.Revision = 3
-	f.Fit(v.WithRoster(&ended), now)
-	if s := f.Find(Number("e")); s.Evacuated || !s.Cold(now) || s.Cold(now.Add(3*time.Second)) {
-		t.Errorf("evacuation ended: evacuated %v, cold %v, three seconds later %v", s.Evacuated, s.Cold(now), s.Cold(now.Add(3*time.Second)))
+	f.SetView(v.WithRoster(&ended), now)
+	if s := f.Find(Number("e")); s.Evacuated || !s.IsCold(now) || s.IsCold(now.Add(3*time.Second)) {
+		t.Errorf("evacuation ended: evacuated %v, cold %v, three seconds later %v", s.Evacuated, s.IsCold(now), s.IsCold(now.Add(3*time.Second)))
 	}
 }
 
@@ -147,15 +147,15 @@
 // the first revision is being loaded.
 func TestNothingYet(t *testing.T) {
 	f := NewFleet(nil)
-	f.SetOwn(7, true)
+	f.SetOwned(7, true)
 	f.SetCutOff("a", now, now)
-	for s := range f.In("a") {
+	for s := range f.InFailureDomain("a") {
 		t.Errorf("%+v before the first view", s)
 	}
-	for s := range f.Own() {
+	for s := range f.Owned() {
 		t.Errorf("%+v is owned before the first view", s)
 	}
-	if f.Find(7) != nil || f.Learn(Digest{Number: 7}, now) {
+	if f.Find(7) != nil || f.UpdateDigest(Digest{Number: 7}, now) {
 		t.Error("an endpoint is known before the first view")
 	}
 }
--- a/route/gate.go
+++ b/route/gate.go
@@ -2,115 +2,115 @@
 
 import "github.com/embercove/embercove/config"
 
-// Bar is why a request may not go to an endpoint now.
-type Bar uint8
+// Reason is why a request may not go to an endpoint now.
+type Reason uint8
 
 // The reasons, in the order in which they are checked. Those that apply to every request come
 // first.
 const (
-	BarNone        Bar = iota
-	BarGone            // no longer in the configuration
-	BarLeaving         // the endpoint is leaving
-	BarDoubted         // its registration was gone and may have been restored from an old copy of the store
-	BarEvacuated       // its failure domain is being evacuated
-	BarDown            // its owner can't reach it
-	BarWrong           // not in the ordered state
-	BarCutOff          // its failure domain is cut off from this host
-	BarResting         // it asked this host to back off
-	BarHome            // its region is not one of the request's allowed regions
-	BarRegion          // in a remote region, and the request has no reason to be redirected
-	BarCold            // cold, and no start permit is available yet
-	BarLimited         // it names a limit, and no start permit is available yet
-	BarConnections     // this host's share of its connections is used up
-	BarExcluded        // refused or failed the request before
-	BarTrial           // it runs the probe of a request that may crash it
+	ReasonNone             Reason = iota
+	ReasonGone                    // no longer in the configuration
+	ReasonLeaving                 // the endpoint is leaving
+	ReasonUnconfirmed             // its registration was gone and may have been restored from an old copy of the store
+	ReasonEvacuated               // its failure domain is being evacuated
+	ReasonDown                    // its owner can't reach it
+	ReasonWrongState              // not in the ordered state
+	ReasonCutOff                  // its failure domain is cut off from this host
+	ReasonBackoff                 // it asked this host to back off
+	ReasonRegionNotAllowed        // its region is not one of the request's allowed regions
+	ReasonRemoteRegion            // in a remote region, and the request has no reason to be redirected
+	ReasonCold                    // cold, and no start permit is available yet
+	ReasonLimited                 // it names a limit, and no start permit is available yet
+	ReasonConnections             // this host's share of its connections is used up
+	ReasonExcluded                // refused or failed the request before
+	ReasonProbe                   // it runs the probe of a request that may crash it
 	reasonCount
 )
 
 // String returns the reason as operators see it.
-func (b Bar) String() string {
+func (b Reason) String() string {
 	switch b {
-	case BarNone:
+	case ReasonNone:
 		return ""
-	case BarGone:
+	case ReasonGone:
 		return "gone"
-	case BarLeaving:
+	case ReasonLeaving:
 		return "leaving"
-	case BarDoubted:
+	case ReasonUnconfirmed:
 		return "gone before the store came back from a copy"
-	case BarEvacuated:
+	case ReasonEvacuated:
 		return "its failure domain is being emptied"
-	case BarDown:
+	case ReasonDown:
 		return "unreachable from its owner"
-	case BarWrong:
+	case ReasonWrongState:
 		return "not in the ordered state"
-	case BarCutOff:
+	case ReasonCutOff:
 		return "its failure domain is cut off from this host"
-	case BarResting:
+	case ReasonBackoff:
 		return "it asked this host to back off"
-	case BarHome:
+	case ReasonRegionNotAllowed:
 		return "its region is not allowed for the request"
-	case BarRegion:
+	case ReasonRemoteRegion:
 		return "in another region"
-	case BarCold:
+	case ReasonCold:
 		return "cold, and no start permit is available yet"
-	case BarLimited:
+	case ReasonLimited:
 		return "at the limit that it names, and no start permit is available yet"
-	case BarConnections:
+	case ReasonConnections:
 		return "this host's share of its connections is used up"
-	case BarExcluded:
+	case ReasonExcluded:
 		return "refused or failed this request before"
-	case BarTrial:
+	case ReasonProbe:
 		return "it runs the probe of another request that may crash endpoints"
 	}
 	return "unknown"
 }
 
-// Bars lists all reasons in order.
-func Bars() (out []Bar) {
-	for b := BarGone; b < reasonCount; b++ {
+// Reasons lists all reasons in order.
+func Reasons() (out []Reason) {
+	for b := ReasonGone; b < reasonCount; b++ {
 		out = append(out, b)
 	}
 	return out
 }
 
 // Label returns the reason as a metric label.
-func (b Bar) Label() string {
+func (b Reason) Label() string {
 	return [reasonCount]string{"", "gone", "leaving", "doubted", "emptied", "down", "wrong_state", "cut_off", "resting", "no_home", "other_region", "cold", "limited", "connections", "excluded", "trial"}[b]
 }
 
-// Barred returns why a request may not be sent to an endpoint of any role now; zero: it may.
+// IneligibleReason returns why a request may not be sent to an endpoint of any role now; zero: it may.
 // Every path checks it when an endpoint is chosen and again just before the call.
-func Barred(s *State, r *Request) Bar {
+func IneligibleReason(s *State, r *Request) Reason {
 	switch {
 	case s.IsLeaving():
-		return BarLeaving
+		return ReasonLeaving
 	case r.Now.Before(s.UnconfirmedUntil):
-		return BarDoubted
-	case s.Evacuated, r.Shut&(1<<s.Domain) != 0:
-		return BarEvacuated
+		return ReasonUnconfirmed
+	case s.Evacuated, r.EvacuatedDomains&(1<<s.Domain) != 0:
+		return ReasonEvacuated
 	case s.Digest.Flags&FlagDown != 0:
-		return BarDown
-	case s.Digest.Flags&FlagWrong != 0:
-		return BarWrong
-	case r.Now.Before(s.CutOff):
-		return BarCutOff
-	case s.IsResting(r.Now):
-		return BarResting
-	case r.Homes != 0 && !r.Homes.Has(s.Region):
-		return BarHome
-	case !(r.Region | r.Reach).Has(s.Region):
-		return BarRegion
-	case r.Now.Before(s.NoStart) && s.Cold(r.Now):
-		return BarCold
-	case r.Now.Before(s.NoStart) && s.Limit.Word().Named:
-		return BarLimited
+		return ReasonDown
+	case s.Digest.Flags&FlagWrongState != 0:
+		return ReasonWrongState
+	case r.Now.Before(s.CutOffUntil):
+		return ReasonCutOff
+	case s.IsBackingOff(r.Now):
+		return ReasonBackoff
+	case r.AllowedRegions != 0 && !r.AllowedRegions.Has(s.Region):
+		return ReasonRegionNotAllowed
+	case !(r.Region | r.RemoteRegions).Has(s.Region):
+		return ReasonRemoteRegion
+	case r.Now.Before(s.NoPermitUntil) && s.IsCold(r.Now):
+		return ReasonCold
+	case r.Now.Before(s.NoPermitUntil) && s.Limit.Word().Named:
+		return ReasonLimited
 	case !s.hasConnection(r.Hosts):
-		return BarConnections
+		return ReasonConnections
 	case r.Excluded(s.Number):
-		return BarExcluded
+		return ReasonExcluded
 	}
-	return BarNone
+	return ReasonNone
 }
 
 // connectionsShare is the part of an endpoint's connections that is divided among the hosts. The
@@ -126,27 +126,27 @@
 	if s.Role != config.Service || s.Connections == 0 {
 		return true
 	}
-	return s.Sent < max(1, int(connectionsShare*float64(s.Connections)/float64(max(1, hosts))))
+	return s.InFlight < max(1, int(connectionsShare*float64(s.Connections)/float64(max(1, hosts))))
 }
 
-// Open reports whether a request may be sent to an endpoint of any role now.
-func Open(s *State, r *Request) bool { return Barred(s, r) == BarNone }
+// Eligible reports whether a request may be sent to an endpoint of any role now.
+func Eligible(s *State, r *Request) bool { return IneligibleReason(s, r) == ReasonNone }
 
-// Blame returns the most frequent reason among endpoints of which none is eligible for a request;
+// MainReason returns the most frequent reason among endpoints of which none is eligible for a request;
 // zero: the list is empty. Being in a remote region counts only if there is no other reason.
-func Blame(list []*State, r *Request) Bar {
+func MainReason(list []*State, r *Request) Reason {
 	var counts [reasonCount]int
 	for _, s := range list {
-		counts[Barred(s, r)]++
+		counts[IneligibleReason(s, r)]++
 	}
-	reason := BarNone
-	for b := BarGone; b < reasonCount; b++ {
-		if b != BarRegion && counts[b] > counts[reason] {
+	reason := ReasonNone
+	for b := ReasonGone; b < reasonCount; b++ {
+		if b != ReasonRemoteRegion && counts[b] > counts[reason] {
 			reason = b
 		}
 	}
-	if reason == BarNone && counts[BarRegion] > 0 {
-		return BarRegion
+	if reason == ReasonNone && counts[ReasonRemoteRegion] > 0 {
+		return ReasonRemoteRegion
 	}
 	return reason
 }
--- a/route/gate_test.go
+++ b/route/gate_test.go
@@ -11,7 +11,7 @@
 // TestLabels checks that each reason has a unique label and a text.
 func TestLabels(t *testing.T) {
 	seen := map[string]bool{"": true}
-	for _, b := range Bars() {
+	for _, b := range Reasons() {
 		if l := b.Label(); seen[l] || b.String() == "unknown" {
 			t.Errorf("reason %d: label %q, %q", b, l, b)
 		}
@@ -26,53 +26,55 @@
 	for _, tc := range []struct {
 		name   string
 		change func(s *State, r *Request)
-		want   Bar
+		want   Reason
 	}{
-		{"nothing", func(*State, *Request) {}, BarNone},
-		{"leaving by the configuration", func(s *State, _ *Request) { s.Leaving = true }, BarLeaving},
-		{"leaving by its report", func(s *State, _ *Request) { s.Digest.Flags = FlagLeaving }, BarLeaving},
-		{"leaving by its answers", func(s *State, _ *Request) { s.Notices = &Notices{Leaving: true} }, BarLeaving},
-		{"it asked for backoff", func(s *State, r *Request) { s.Notices = &Notices{Rest: r.Now.Add(time.Millisecond)} }, BarResting},
-		{"its backoff is over", func(s *State, r *Request) { s.Notices = &Notices{Rest: r.Now} }, BarNone},
-		{"the first request after its backoff is unanswered", func(s *State, r *Request) { s.Notices = &Notices{Rest: r.Now, probeUntil: r.Now.Add(time.Second)} }, BarResting},
-		{"down", func(s *State, _ *Request) { s.Digest.Flags = FlagDown }, BarDown},
-		{"wrong state", func(s *State, _ *Request) { s.Digest.Flags = FlagWrong }, BarWrong},
-		{"emptied", func(s *State, _ *Request) { s.Evacuated = true }, BarEvacuated},
-		{"evacuated by owners' reports", func(s *State, r *Request) { s.Domain, r.Shut = 3, 1<<3 }, BarEvacuated},
-		{"another domain is evacuated by owners' reports", func(s *State, r *Request) { s.Domain, r.Shut = 3, 1<<2 }, BarNone},
-		{"evacuated and down", func(s *State, _ *Request) { s.Evacuated, s.Digest.Flags = true, FlagDown }, BarEvacuated},
-		{"cut off", func(s *State, r *Request) { s.CutOff = r.Now.Add(time.Second) }, BarCutOff},
-		{"cut off until now", func(s *State, r *Request) { s.CutOff = r.Now }, BarNone},
-		{"cold", func(s *State, r *Request) { s.ColdUntil = r.Now.Add(time.Second) }, BarNone},
+		{"nothing", func(*State, *Request) {}, ReasonNone},
+		{"leaving by the configuration", func(s *State, _ *Request) { s.Leaving = true }, ReasonLeaving},
+		{"leaving by its report", func(s *State, _ *Request) { s.Digest.Flags = FlagLeaving }, ReasonLeaving},
+		{"leaving by its answers", func(s *State, _ *Request) { s.Notices = &Notices{Leaving: true} }, ReasonLeaving},
+		{"it asked for backoff", func(s *State, r *Request) { s.Notices = &Notices{BackoffUntil: r.Now.Add(time.Millisecond)} }, ReasonBackoff},
+		{"its backoff is over", func(s *State, r *Request) { s.Notices = &Notices{BackoffUntil: r.Now} }, ReasonNone},
+		{"the first request after its backoff is unanswered", func(s *State, r *Request) {
+			s.Notices = &Notices{BackoffUntil: r.Now, probeUntil: r.Now.Add(time.Second)}
+		}, ReasonBackoff},
+		{"down", func(s *State, _ *Request) { s.Digest.Flags = FlagDown }, ReasonDown},
+		{"wrong state", func(s *State, _ *Request) { s.Digest.Flags = FlagWrongState }, ReasonWrongState},
+		{"emptied", func(s *State, _ *Request) { s.Evacuated = true }, ReasonEvacuated},
+		{"evacuated by owners' reports", func(s *State, r *Request) { s.Domain, r.EvacuatedDomains = 3, 1<<3 }, ReasonEvacuated},
+		{"another domain is evacuated by owners' reports", func(s *State, r *Request) { s.Domain, r.EvacuatedDomains = 3, 1<<2 }, ReasonNone},
+		{"evacuated and down", func(s *State, _ *Request) { s.Evacuated, s.Digest.Flags = true, FlagDown }, ReasonEvacuated},
+		{"cut off", func(s *State, r *Request) { s.CutOffUntil = r.Now.Add(time.Second) }, ReasonCutOff},
+		{"cut off until now", func(s *State, r *Request) { s.CutOffUntil = r.Now }, ReasonNone},
+		{"cold", func(s *State, r *Request) { s.ColdUntil = r.Now.Add(time.Second) }, ReasonNone},
 		{"cold without a permit", func(s *State, r *Request) {
-			s.ColdUntil, s.NoStart = r.Now.Add(time.Second), r.Now.Add(time.Millisecond)
-		}, BarCold},
+			s.ColdUntil, s.NoPermitUntil = r.Now.Add(time.Second), r.Now.Add(time.Millisecond)
+		}, ReasonCold},
 		{"cold by its owner's report without a permit", func(s *State, r *Request) {
-			s.Digest.Flags, s.At, s.NoStart = FlagCold, r.Now, r.Now.Add(time.Millisecond)
-		}, BarCold},
-		{"no longer cold", func(s *State, r *Request) { s.ColdUntil, s.NoStart = r.Now, r.Now.Add(time.Second) }, BarNone},
-		{"this host's share of connections is used up", func(s *State, r *Request) { s.Role, s.Connections, s.Sent, r.Hosts = config.Service, 20, 9, 2 }, BarConnections},
-		{"one of them is left", func(s *State, r *Request) { s.Role, s.Connections, s.Sent, r.Hosts = config.Service, 20, 8, 2 }, BarNone},
-		{"more hosts than connections", func(s *State, r *Request) { s.Role, s.Connections, r.Hosts = config.Service, 20, 300 }, BarNone},
-		{"an engine's connections", func(s *State, r *Request) { s.Role, s.Connections, s.Sent, r.Hosts = config.Decode, 20, 50, 2 }, BarNone},
+			s.Digest.Flags, s.DigestAt, s.NoPermitUntil = FlagCold, r.Now, r.Now.Add(time.Millisecond)
+		}, ReasonCold},
+		{"no longer cold", func(s *State, r *Request) { s.ColdUntil, s.NoPermitUntil = r.Now, r.Now.Add(time.Second) }, ReasonNone},
+		{"this host's share of connections is used up", func(s *State, r *Request) { s.Role, s.Connections, s.InFlight, r.Hosts = config.Service, 20, 9, 2 }, ReasonConnections},
+		{"one of them is left", func(s *State, r *Request) { s.Role, s.Connections, s.InFlight, r.Hosts = config.Service, 20, 8, 2 }, ReasonNone},
+		{"more hosts than connections", func(s *State, r *Request) { s.Role, s.Connections, r.Hosts = config.Service, 20, 300 }, ReasonNone},
+		{"an engine's connections", func(s *State, r *Request) { s.Role, s.Connections, s.InFlight, r.Hosts = config.Decode, 20, 50, 2 }, ReasonNone},
 		{"at its limit without a permit", func(s *State, r *Request) {
 			s.Limit.Hear(r.Now, pace.Word{Named: true, At: r.Now})
-			s.NoStart = r.Now.Add(time.Millisecond)
-		}, BarLimited},
-		{"at its limit", func(s *State, r *Request) { s.Limit.Hear(r.Now, pace.Word{Named: true, At: r.Now}) }, BarNone},
-		{"excluded", func(s *State, r *Request) { r.Drop(s.Number) }, BarExcluded},
-		{"another region", func(s *State, _ *Request) { s.Region = other }, BarRegion},
-		{"another region that it may be redirected to", func(s *State, r *Request) { s.Region, r.Reach = other, other }, BarNone},
-		{"an allowed region", func(_ *State, r *Request) { r.Homes = own | other }, BarNone},
-		{"no allowed region", func(_ *State, r *Request) { r.Homes = other }, BarHome},
-		{"a reachable region that is not allowed", func(s *State, r *Request) { s.Region, r.Reach, r.Homes = other, other, own|third }, BarHome},
-		{"an allowed region that it has no reason to be redirected to", func(s *State, r *Request) { s.Region, r.Homes = other, own|other }, BarRegion},
+			s.NoPermitUntil = r.Now.Add(time.Millisecond)
+		}, ReasonLimited},
+		{"at its limit", func(s *State, r *Request) { s.Limit.Hear(r.Now, pace.Word{Named: true, At: r.Now}) }, ReasonNone},
+		{"excluded", func(s *State, r *Request) { r.AddExcluded(s.Number) }, ReasonExcluded},
+		{"another region", func(s *State, _ *Request) { s.Region = other }, ReasonRemoteRegion},
+		{"another region that it may be redirected to", func(s *State, r *Request) { s.Region, r.RemoteRegions = other, other }, ReasonNone},
+		{"an allowed region", func(_ *State, r *Request) { r.AllowedRegions = own | other }, ReasonNone},
+		{"no allowed region", func(_ *State, r *Request) { r.AllowedRegions = other }, ReasonRegionNotAllowed},
+		{"a reachable region that is not allowed", func(s *State, r *Request) { s.Region, r.RemoteRegions, r.AllowedRegions = other, other, own|third }, ReasonRegionNotAllowed},
+		{"an allowed region that it has no reason to be redirected to", func(s *State, r *Request) { s.Region, r.AllowedRegions = other, own|other }, ReasonRemoteRegion},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			s := &State{Number: 7, Region: own, Spec: &config.Endpoint{ColdPerSecond: 21}}
 			r := &Request{Region: own, Now: now}
 			tc.change(s, r)
-			if got := Barred(s, r); got != tc.want || Open(s, r) != (tc.want == BarNone) {
+			if got := IneligibleReason(s, r); got != tc.want || Eligible(s, r) != (tc.want == ReasonNone) {
 				t.Errorf("reason %q, want %q", got, tc.want)
 			}
 		})
@@ -85,19 +87,19 @@
 	states := []*State{{Region: 1, Evacuated: true}, {Region: 1, Evacuated: true}, {Region: 1, Leaving: true}, {Region: 2}, {Region: 2}, {Region: 2}}
 	for _, tc := range []struct {
 		list []int
-		want Bar
+		want Reason
 	}{
-		{nil, BarNone},
-		{[]int{0, 1, 2}, BarEvacuated},
-		{[]int{2}, BarLeaving},
-		{[]int{3, 4}, BarRegion},
-		{[]int{0, 3, 4, 5}, BarEvacuated},
+		{nil, ReasonNone},
+		{[]int{0, 1, 2}, ReasonEvacuated},
+		{[]int{2}, ReasonLeaving},
+		{[]int{3, 4}, ReasonRemoteRegion},
+		{[]int{0, 3, 4, 5}, ReasonEvacuated},
 	} {
 		var list []*State
 		for _, i := range tc.list {
 			list = append(list, states[i])
 		}
-		if got := Blame(list, r); got != tc.want {
+		if got := MainReason(list, r); got != tc.want {
 			t.Errorf("%v: %q, want %q", tc.list, got, tc.want)
 		}
 	}
--- a/route/gone_test.go
+++ b/route/gone_test.go
@@ -34,18 +34,18 @@
 				v.Roster = at
 				return &v
 			}
-			f.Fit(view(1, tc.born, "e", "other"), noticeTime)
-			f.Fit(view(1, tc.born, "other"), noticeTime)
-			f.Fit(view(tc.era, tc.back, "e", "other"), noticeTimeAt(tc.after))
+			f.SetView(view(1, tc.born, "e", "other"), noticeTime)
+			f.SetView(view(1, tc.born, "other"), noticeTime)
+			f.SetView(view(tc.era, tc.back, "e", "other"), noticeTimeAt(tc.after))
 			for _, at := range []struct {
 				seconds float64
 				barred  bool
 			}{{tc.after, tc.barred}, {tc.after + 4.9, tc.barred}, {tc.after + 5, false}} {
 				r := &Request{Region: ^config.Regions(0), Now: noticeTimeAt(at.seconds)}
-				if got := Barred(f.Find(Number("e")), r) == BarDoubted; got != at.barred {
+				if got := IneligibleReason(f.Find(Number("e")), r) == ReasonUnconfirmed; got != at.barred {
 					t.Errorf("%v s later: unconfirmed %v, want %v", at.seconds-tc.after, got, at.barred)
 				}
-				if Barred(f.Find(Number("other")), r) != BarNone {
+				if IneligibleReason(f.Find(Number("other")), r) != ReasonNone {
 					t.Error("an endpoint that stayed is excluded")
 				}
 			}
--- a/route/list.go
+++ b/route/list.go
@@ -15,8 +15,8 @@
 // All returns the states, which must not be changed.
 func (l *List) All() []*State { return l.all.rows }
 
-// In returns the states in the failure domain with an index.
-func (l *List) In(domain int) []*State {
+// InFailureDomain returns the states in the failure domain with an index.
+func (l *List) InFailureDomain(domain int) []*State {
 	if domain >= len(l.byDomain) {
 		return nil
 	}
--- a/route/notices.go
+++ b/route/notices.go
@@ -4,18 +4,18 @@
 
 // Notice is what one response of an endpoint said about the endpoint itself.
 type Notice struct {
-	Leaving bool
-	Rest    time.Duration // for how long the endpoint asks this host to back off; 0: not at all
-	Born    int64         // start time of the endpoint's process; 0: unknown
-	Sent    time.Time     // when the call was made
-	Heard   time.Time     // when the response header came
+	Leaving    bool
+	Backoff    time.Duration // for how long the endpoint asks this host to back off; 0: not at all
+	Started    int64         // start time of the endpoint's process; 0: unknown
+	CalledAt   time.Time     // when the call was made
+	ReceivedAt time.Time     // when the response header came
 }
 
 // Notices is the state that an endpoint's responses have announced to this host. It holds
 // regardless of the registration, until a later start of the endpoint is registered.
 type Notices struct {
-	Leaving bool
-	Rest    time.Time // until when this host backs off
+	Leaving      bool
+	BackoffUntil time.Time // until when this host backs off
 
 	probeUntil   time.Time // until when the response to the first request after the backoff is awaited
 	recovered    bool      // a call made after the backoff was answered
@@ -30,14 +30,14 @@
 // isBackingOff reports whether the endpoint asked for backoff, or a first request is just probing
 // whether it accepts requests again.
 func (n *Notices) isBackingOff(now time.Time) bool {
-	return n != nil && (now.Before(n.Rest) || !n.recovered && now.Before(n.probeUntil))
+	return n != nil && (now.Before(n.BackoffUntil) || !n.recovered && now.Before(n.probeUntil))
 }
 
 // Admit reports whether a call may be made now. The first call after a backoff blocks others until
 // it is answered: if the endpoint backs off again, it would refuse all of them at once.
 func (n *Notices) Admit(now time.Time) bool {
 	switch {
-	case n == nil || n.Rest.IsZero() || n.recovered:
+	case n == nil || n.BackoffUntil.IsZero() || n.recovered:
 		return true
 	case n.isBackingOff(now):
 		return false
@@ -48,23 +48,23 @@
 
 // NoticeChange is what a notice changed.
 type NoticeChange struct {
-	Leaves bool // the endpoint announced for the first time that it is leaving
-	Rests  bool // it asked for backoff, and none was in effect
+	NewlyLeaving bool // the endpoint announced for the first time that it is leaving
+	NewBackoff   bool // it asked for backoff, and none was in effect
 }
 
 // observe applies a notice of the endpoint's process.
 func (n *Notices) observe(notice Notice) (c NoticeChange) {
-	c.Leaves = notice.Leaving && !n.Leaving
-	c.Rests = notice.Rest > 0 && !notice.Heard.Before(n.Rest)
+	c.NewlyLeaving = notice.Leaving && !n.Leaving
+	c.NewBackoff = notice.Backoff > 0 && !notice.ReceivedAt.Before(n.BackoffUntil)
 	n.Leaving = n.Leaving || notice.Leaving
-	until := notice.Heard.Add(notice.Rest)
+	until := notice.ReceivedAt.Add(notice.Backoff)
 	switch {
-	case notice.Rest > 0 && until.After(n.Rest):
-		n.Rest, n.probeUntil, n.recovered = until, time.Time{}, false
-	case notice.Rest == 0 && !notice.Sent.Before(n.Rest):
+	case notice.Backoff > 0 && until.After(n.BackoffUntil):
+		n.BackoffUntil, n.probeUntil, n.recovered = until, time.Time{}, false
+	case notice.Backoff == 0 && !notice.CalledAt.Before(n.BackoffUntil):
 		n.recovered = true
 	}
-	n.lastReceived = notice.Heard
+	n.lastReceived = notice.ReceivedAt
 	return c
 }
 
@@ -85,18 +85,18 @@
 	minNotices = 64
 )
 
-// Hear applies a notice of an endpoint, which may have lost its registration meanwhile. Notices of
+// ObserveNotice applies a notice of an endpoint, which may have lost its registration meanwhile. Notices of
 // an earlier start of the endpoint are ignored.
-func (f *Fleet) Hear(number uint32, notice Notice) (c NoticeChange) {
+func (f *Fleet) ObserveNotice(number uint32, notice Notice) (c NoticeChange) {
 	s := f.states[number]
-	n := f.noticesFor(number, notice.Born)
-	announces := notice.Leaving || notice.Rest > 0
-	if s != nil && notice.Born < s.Spec.Born || n != nil && notice.Born < n.started || n == nil && !announces {
+	n := f.noticesFor(number, notice.Started)
+	announces := notice.Leaving || notice.Backoff > 0
+	if s != nil && notice.Started < s.Spec.Born || n != nil && notice.Started < n.started || n == nil && !announces {
 		return NoticeChange{}
 	}
 	if n == nil {
-		f.expireNotices(notice.Heard)
-		n = &Notices{started: notice.Born}
+		f.expireNotices(notice.ReceivedAt)
+		n = &Notices{started: notice.Started}
 		f.notices[number] = n
 	}
 	if s != nil {
--- a/route/notices_test.go
+++ b/route/notices_test.go
@@ -43,7 +43,7 @@
 			for i, s := range tc.steps {
 				now := noticeTimeAt(s.at)
 				if s.rest >= 0 {
-					n.observe(Notice{Rest: time.Duration(s.rest * float64(time.Second)), Sent: noticeTimeAt(s.sent), Heard: now})
+					n.observe(Notice{Backoff: time.Duration(s.rest * float64(time.Second)), CalledAt: noticeTimeAt(s.sent), ReceivedAt: now})
 					continue
 				}
 				if got := n.Admit(now); got != s.admit {
@@ -89,22 +89,22 @@
 		t.Run(tc.name, func(t *testing.T) {
 			f := NewFleet(viewOfServices(t, tc.noticed, "e"))
 			number := Number("e")
-			if c := f.Hear(number, Notice{Leaving: true, Born: tc.noticed, Heard: noticeTime}); !c.Leaves {
+			if c := f.ObserveNotice(number, Notice{Leaving: true, Started: tc.noticed, ReceivedAt: noticeTime}); !c.NewlyLeaving {
 				t.Fatalf("%+v", c)
 			}
-			if c := f.Hear(number, Notice{Leaving: true, Born: tc.noticed, Heard: noticeTime}); c.Leaves {
+			if c := f.ObserveNotice(number, Notice{Leaving: true, Started: tc.noticed, ReceivedAt: noticeTime}); c.NewlyLeaving {
 				t.Error("reported twice")
 			}
-			f.Fit(viewOfServices(t, 1, "other"), noticeTime)
-			f.Fit(viewOfServices(t, tc.reregistered, "e"), noticeTimeAt(5))
+			f.SetView(viewOfServices(t, 1, "other"), noticeTime)
+			f.SetView(viewOfServices(t, tc.reregistered, "e"), noticeTimeAt(5))
 			if got := f.Find(number).IsLeaving(); got != tc.leaving {
 				t.Errorf("leaving %v, want %v", got, tc.leaving)
 			}
 			if tc.reregistered < tc.noticed {
 				return
 			}
-			f.Fit(viewOfServices(t, tc.reregistered+1, "e"), noticeTimeAt(6))
-			f.Hear(number, Notice{Leaving: true, Born: tc.reregistered, Heard: noticeTimeAt(6)})
+			f.SetView(viewOfServices(t, tc.reregistered+1, "e"), noticeTimeAt(6))
+			f.ObserveNotice(number, Notice{Leaving: true, Started: tc.reregistered, ReceivedAt: noticeTimeAt(6)})
 			if tc.reregistered > 0 && f.Find(number).IsLeaving() {
 				t.Error("a notice of an earlier start is applied to a later one")
 			}
@@ -129,15 +129,15 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			f := NewFleet(viewOfServices(t, tc.born, "e"))
-			f.Fit(viewOfServices(t, tc.born, "other"), noticeTime)
+			f.SetView(viewOfServices(t, tc.born, "other"), noticeTime)
 			if tc.registers {
-				f.Fit(viewOfServices(t, tc.back, "e"), noticeTime)
+				f.SetView(viewOfServices(t, tc.back, "e"), noticeTime)
 			}
-			f.Hear(Number("e"), Notice{Leaving: true, Rest: time.Second, Born: tc.born, Heard: noticeTime})
-			f.Fit(viewOfServices(t, tc.back, "e"), noticeTimeAt(0.5))
+			f.ObserveNotice(Number("e"), Notice{Leaving: true, Backoff: time.Second, Started: tc.born, ReceivedAt: noticeTime})
+			f.SetView(viewOfServices(t, tc.back, "e"), noticeTimeAt(0.5))
 			s := f.Find(Number("e"))
-			if s.IsLeaving() != tc.leaving || s.IsResting(noticeTimeAt(0.5)) != tc.leaving {
-				t.Errorf("leaving %v, resting %v; want %v", s.IsLeaving(), s.IsResting(noticeTimeAt(0.5)), tc.leaving)
+			if s.IsLeaving() != tc.leaving || s.IsBackingOff(noticeTimeAt(0.5)) != tc.leaving {
+				t.Errorf("leaving %v, resting %v; want %v", s.IsLeaving(), s.IsBackingOff(noticeTimeAt(0.5)), tc.leaving)
 			}
 		})
 	}
@@ -155,9 +155,9 @@
 			names[k] = fmt.Sprintf("e%d-%d", i, k)
 		}
 		now = now.Add(time.Minute)
-		f.Fit(viewOfServices(t, 1, names...), now)
+		f.SetView(viewOfServices(t, 1, names...), now)
 		for _, name := range names {
-			f.Hear(Number(name), Notice{Leaving: true, Born: 1, Heard: now})
+			f.ObserveNotice(Number(name), Notice{Leaving: true, Started: 1, ReceivedAt: now})
 		}
 	}
 	if maxKept := 3 * each * int(noticesTTL/time.Minute); len(f.notices) > maxKept {
--- a/route/pair_test.go
+++ b/route/pair_test.go
@@ -17,12 +17,12 @@
 		}
 	}
 	busy(0, 1, 5) // the prefill engines here, the decode engine there
-	r := &Request{Group: f.routes["all"], Model: "m", Tokens: 1000, MaxAnswer: 100, Home: 0, Region: here, Reach: far, Now: now}
+	r := &Request{Group: f.routes["all"], Model: "m", Tokens: 1000, MaxAnswer: 100, EntryDomain: 0, Region: here, RemoteRegions: far, Now: now}
 	c := f.Pick(r)
 	if c.Prefill == nil || v.Region[c.Prefill.Domain] != v.Region[c.Decode.Domain] {
 		t.Fatalf("chose %+v: a pair of two regions", c)
 	}
-	r.Pair = far
+	r.PrefillRegion = far
 	if c := f.PickDecode(r); c.Decode != states[5].Spec {
 		t.Errorf("prefill ran in the other region, decode is at %+v", c.Decode)
 	}
--- a/route/pick.go
+++ b/route/pick.go
@@ -9,32 +9,32 @@
 
 // Request holds the inputs of a routing decision besides the endpoint states.
 type Request struct {
-	Group     *Group // the endpoints that the route allows
-	Model     string
-	Tokens    int // of the prompt
-	MaxAnswer int
-	Head      uint32
-	HasHead   bool
-	Home      int            // index of the entry host's failure domain
-	Region    config.Regions // region of the entry host
-	Homes     config.Regions // allowed regions; 0: all
-	Reach     config.Regions // remote regions that it may be redirected to
-	Shut      uint64         // failure domains, by index, that owners report as being evacuated
-	Pair      config.Regions // region of its prefill, where decode must run too; 0: not chosen yet
-	Now       time.Time
-	Hosts     int    // in the fleet, as far as this host knows
-	Trial     bool   // it may crash the endpoint: prefer those with the fewest requests in progress
-	Seed      uint64 // spreads the choices of many hosts over near-equal endpoints
+	Group            *Group // the endpoints that the route allows
+	Model            string
+	Tokens           int // of the prompt
+	MaxAnswer        int
+	Head             uint32
+	HasHead          bool
+	EntryDomain      int            // index of the entry host's failure domain
+	Region           config.Regions // region of the entry host
+	AllowedRegions   config.Regions // allowed regions; 0: all
+	RemoteRegions    config.Regions // remote regions that it may be redirected to
+	EvacuatedDomains uint64         // failure domains, by index, that owners report as being evacuated
+	PrefillRegion    config.Regions // region of its prefill, where decode must run too; 0: not chosen yet
+	Now              time.Time
+	Hosts            int    // in the fleet, as far as this host knows
+	Probe            bool   // it may crash the endpoint: prefer those with the fewest requests in progress
+	Seed             uint64 // spreads the choices of many hosts over near-equal endpoints
 	// FixedPrefill is the number of a prefill endpoint that has already admitted the request; 0: any.
 	FixedPrefill uint32
 	// Exclude holds the numbers of endpoints that refused or failed; 0 ends the list. It holds
 	// numbers because indexes change with the view.
-	Exclude [MostExcluded]uint32
+	Exclude [MaxExcluded]uint32
 }
 
-// MostExcluded is how many endpoints a request can exclude: as many as it may try, of both roles,
+// MaxExcluded is how many endpoints a request can exclude: as many as it may try, of both roles,
 // and some that failed.
-const MostExcluded = 24
+const MaxExcluded = 24
 
 // Excluded reports whether an endpoint is excluded.
 func (r *Request) Excluded(number uint32) bool {
@@ -49,8 +49,8 @@
 	return false
 }
 
-// Drop excludes an endpoint. It does nothing if the list is full.
-func (r *Request) Drop(number uint32) {
+// AddExcluded excludes an endpoint. It does nothing if the list is full.
+func (r *Request) AddExcluded(number uint32) {
 	for k, x := range r.Exclude {
 		if x == 0 {
 			r.Exclude[k] = number
@@ -61,12 +61,12 @@
 
 // Choice is a chosen pair of endpoints; nil: none.
 type Choice struct {
-	Prefill, Decode *config.Endpoint
-	Uncached        int           // tokens that the prefill engine has to compute
-	Wait            time.Duration // forecast queueing time before prefill
-	Read            time.Duration // forecast time of the prefill
-	Move            time.Duration // forecast time of the KV transfer
-	Age             time.Duration // of the decode endpoint's digest; below 0: there is none
+	Prefill, Decode  *config.Endpoint
+	Uncached         int           // tokens that the prefill engine has to compute
+	QueueDuration    time.Duration // forecast queueing time before prefill
+	PrefillDuration  time.Duration // forecast time of the prefill
+	TransferDuration time.Duration // forecast time of the KV transfer
+	DigestAge        time.Duration // of the decode endpoint's digest; below 0: there is none
 }
 
 // Costs of a choice besides its time, in seconds of time to first token.
@@ -161,10 +161,10 @@
 func newChoice(v *config.View, p, d *State, r *Request) Choice {
 	c := Choice{Prefill: p.Spec, Decode: d.Spec}
 	c.Uncached = p.Uncached(r.Tokens, r.Head, r.HasHead)
-	c.Wait = time.Duration(p.Digest.QueueMillis) * time.Millisecond
-	c.Read = p.PrefillTime(c.Uncached)
-	c.Age = d.Age(r.Now)
-	c.Move = LinkTime(d.Spec, kvBytes(v, d, r.Tokens))
+	c.QueueDuration = time.Duration(p.Digest.QueueMillis) * time.Millisecond
+	c.PrefillDuration = p.PrefillTime(c.Uncached)
+	c.DigestAge = d.Age(r.Now)
+	c.TransferDuration = LinkTime(d.Spec, kvBytes(v, d, r.Tokens))
 	return c
 }
 
@@ -176,7 +176,7 @@
 	return int64(tokens) * m.KVBytesPerToken
 }
 
-func eligibleForModel(s *State, r *Request) bool { return Open(s, r) && s.Spec.Serves(r.Model) }
+func eligibleForModel(s *State, r *Request) bool { return Eligible(s, r) && s.Spec.Serves(r.Model) }
 
 // prefillCost returns the forecast time until the prefill is done, plus costs, in seconds. Work
 // counts more than waiting if the settings give wasted prefill a weight.
@@ -190,12 +190,12 @@
 // decodeCost returns the forecast time until decode can begin, plus costs, in seconds.
 func decodeCost(v *config.View, s *State, r *Request) float64 {
 	cost := LinkTime(s.Spec, kvBytes(v, s, r.Tokens)).Seconds() + float64(s.Digest.LinkMillis+s.Digest.WaitMillis)/1000
-	if !s.At.IsZero() {
+	if !s.DigestAt.IsZero() {
 		need := r.Tokens + r.MaxAnswer
 		free := int(s.Digest.FreeTokens)
 		cost += costFill * (1 - float64(max(0, free))/float64(s.Spec.MemoryTokens))
 		cost += costFill * (1 - float64(max(0, s.Digest.FreeSlots))/float64(s.Spec.Slots))
-		if r.Trial {
+		if r.Probe {
 			cost += costFailureRisk * float64(s.Spec.Slots-int(s.Digest.FreeSlots))
 		}
 		if free < need || s.Digest.FreeSlots <= 0 {
@@ -210,30 +210,32 @@
 // pool that fails as a whole keep their order.
 func withPlacementCosts(cost float64, s *State, r *Request) float64 {
 	cost += costFailing * float64(s.Digest.FailPct) / 100
-	cost += costCallsFailing * s.Seen.Failing(r.Now)
-	if s.Seen.Shunned(r.Now) {
+	cost += costCallsFailing * s.Calls.FailureRate(r.Now)
+	if s.Calls.IsUnreachable(r.Now) {
 		cost += costUnreachable
 	}
-	if s.Cold(r.Now) {
+	if s.IsCold(r.Now) {
 		cost += costCold
 	}
-	if s.Limited(r.Now) {
+	if s.IsLimited(r.Now) {
 		cost += costLimited
 	}
-	if s.Domain != r.Home {
+	if s.Domain != r.EntryDomain {
 		cost += costOtherDomain
 	}
-	if !s.Own {
+	if !s.Owned {
 		cost += costOtherOwner
 	}
-	if !s.At.IsZero() && r.Now.Sub(s.At) > staleAfter {
+	if !s.DigestAt.IsZero() && r.Now.Sub(s.DigestAt) > staleAfter {
 		cost += costStale
 	}
 	return cost * (1 + jitterShare*noise(r.Seed, s.Number))
 }
 
 // inPrefillRegion reports whether a decode endpoint is in the region of the prefill.
-func (r *Request) inPrefillRegion(s *State) bool { return r.Pair == 0 || r.Pair == s.Region }
+func (r *Request) inPrefillRegion(s *State) bool {
+	return r.PrefillRegion == 0 || r.PrefillRegion == s.Region
+}
 
 // crossDomainCost returns the cost that a transfer between failure domains adds. It is infinite
 // if no link joins them, and between regions, where a gigabyte takes ten times as long and is
@@ -278,7 +280,7 @@
 	if best == nil {
 		return Choice{}
 	}
-	return Choice{Decode: best.Spec, Age: best.Age(r.Now), Move: LinkTime(best.Spec, kvBytes(f.View, best, r.Tokens))}
+	return Choice{Decode: best.Spec, DigestAge: best.Age(r.Now), TransferDuration: LinkTime(best.Spec, kvBytes(f.View, best, r.Tokens))}
 }
 
 // PickService returns the cheapest endpoint of a plain service for which open reports true; nil:
--- a/route/pick_test.go
+++ b/route/pick_test.go
@@ -41,7 +41,7 @@
 	for _, e := range v.Doc.Endpoints {
 		s := f.Find(Number(e.Name))
 		states = append(states, s)
-		s.At = now.Add(-100 * time.Millisecond)
+		s.DigestAt = now.Add(-100 * time.Millisecond)
 		s.Digest.TrustPct, s.Digest.FreeTokens, s.Digest.FreeSlots = 100, 50000, 10
 	}
 	return f, states
@@ -81,14 +81,14 @@
 		{name: "a probe: where fewest are in progress", change: func(s []*State, r *Request) {
 			s[d0].Digest.FreeSlots -= 2
 			s[d3].Digest.FreeSlots -= 2
-			r.Trial = true
+			r.Probe = true
 		}, pre: []int{p0, p1, p3, p4}, dec: []int{d1, d4}},
 		{name: "not a probe", change: func(s []*State, _ *Request) {
 			s[d0].Digest.FreeSlots -= 2
 			s[d3].Digest.FreeSlots -= 2
 		}, pre: []int{p0, p3}, dec: []int{d0, d3}},
 		{name: "leaving", change: func(s []*State, _ *Request) { s[p0].Digest.Flags = FlagLeaving; s[d0].Leaving = true }, pre: []int{p3}, dec: []int{d3}},
-		{name: "down", change: func(s []*State, _ *Request) { s[p0].Digest.Flags = FlagDown; s[p3].Digest.Flags = FlagWrong }, pre: []int{p1, p4}, dec: []int{d1, d4}},
+		{name: "down", change: func(s []*State, _ *Request) { s[p0].Digest.Flags = FlagDown; s[p3].Digest.Flags = FlagWrongState }, pre: []int{p1, p4}, dec: []int{d1, d4}},
 		{name: "failing a little, busy elsewhere", change: func(s []*State, _ *Request) {
 			s[p0].Digest.FailPct, s[p3].Digest.QueueMillis = 2, 400
 		}, pre: []int{p0}, dec: []int{d0, d3}},
@@ -99,7 +99,7 @@
 			}
 		}, pre: []int{p0, p1, p3, p4}, dec: []int{d0, d1, d3, d4}},
 		{name: "slow", change: func(s []*State, _ *Request) { s[p0].Digest.SlowPct = 300 }, pre: []int{p3}, dec: []int{d0, d3}},
-		{name: "refused before", change: func(_ []*State, r *Request) { r.Drop(Number("p0")); r.Drop(Number("d3")) }, pre: []int{p3}, dec: []int{d0}},
+		{name: "refused before", change: func(_ []*State, r *Request) { r.AddExcluded(Number("p0")); r.AddExcluded(Number("d3")) }, pre: []int{p3}, dec: []int{d0}},
 		{name: "admitted already", change: func(_ []*State, r *Request) { r.FixedPrefill = Number("p3") }, pre: []int{p3}, dec: []int{d0, d3}},
 		{name: "cold", change: func(s []*State, _ *Request) {
 			for _, i := range []int{p0, d0} {
@@ -114,7 +114,7 @@
 			s[p0].Spec, s[p0].ColdUntil, s[p3].Digest.QueueMillis = &cold, now.Add(time.Second), 800
 			s[p1].Digest.QueueMillis, s[p4].Digest.QueueMillis = 800, 800
 		}, pre: []int{p0}, dec: []int{d0, d3}},
-		{name: "an old digest", change: func(s []*State, _ *Request) { s[d0].At = now.Add(-time.Minute) }, pre: []int{p0, p3}, dec: []int{d3}},
+		{name: "an old digest", change: func(s []*State, _ *Request) { s[d0].DigestAt = now.Add(-time.Minute) }, pre: []int{p0, p3}, dec: []int{d3}},
 		{name: "a model that none serves", change: func(_ []*State, r *Request) { r.Model = "other" }, nothing: true},
 		{name: "nothing in the region", change: func(_ []*State, r *Request) { r.Region = 0 }, nothing: true},
 		{name: "all are leaving", change: func(s []*State, _ *Request) {
@@ -164,7 +164,7 @@
 			hits := map[*State]int{}
 			for n := range uint64(400) {
 				r := &Request{Group: f.routes["all"], Model: "m", Region: v.RegionSet("r"), Now: now, Seed: n * 0x9e3779b97f4a7c15}
-				hits[PickOne(f.routes["all"].Prefill.All(), mode, n, r)]++
+				hits[PickBaseline(f.routes["all"].Prefill.All(), mode, n, r)]++
 			}
 			if len(hits) != 4 {
 				t.Errorf("spread %v: want the four engines of the region", hits)
@@ -190,7 +190,7 @@
 			v := poolView(b, n/2, n/2)
 			f := NewFleet(v)
 			for s := range f.All() {
-				s.At = now.Add(-100 * time.Millisecond)
+				s.DigestAt = now.Add(-100 * time.Millisecond)
 				s.Digest.TrustPct, s.Digest.FreeTokens, s.Digest.FreeSlots = 100, 50000, 10
 				s.Digest.Heads = make([]HeadDigest, 24)
 			}
--- a/route/state.go
+++ b/route/state.go
@@ -15,10 +15,10 @@
 
 // Flags of a digest.
 const (
-	FlagDown    = 1 << iota // the owner can't reach the endpoint
-	FlagLeaving             // the endpoint is leaving
-	FlagWrong               // not in the ordered state
-	FlagCold                // cold, as far as the owner knows
+	FlagDown       = 1 << iota // the owner can't reach the endpoint
+	FlagLeaving                // the endpoint is leaving
+	FlagWrongState             // not in the ordered state
+	FlagCold                   // cold, as far as the owner knows
 )
 
 // HeadDigest holds how many tokens an endpoint has cached of prompts that begin with a block.
@@ -56,22 +56,22 @@
 	Leaving          bool        // by the configuration
 	Evacuated        bool        // its failure domain is being evacuated
 	UnconfirmedUntil time.Time   // until when its registration may be one restored from an old copy of the store
-	CutOff           time.Time   // until when its failure domain counts as cut off from this host
+	CutOffUntil      time.Time   // until when its failure domain counts as cut off from this host
 	ColdUntil        time.Time   // until when it is cold by its registration
-	MaybeCold        time.Time   // until when it may be cold though its registration doesn't say so
-	NoStart          time.Time   // before which its owner gives out no start permit
-	Back             time.Time   // when a caller that got no start permit should come back
+	MaybeColdUntil   time.Time   // until when it may be cold though its registration doesn't say so
+	NoPermitUntil    time.Time   // before which its owner gives out no start permit
+	RetryAt          time.Time   // when a caller that got no start permit should come back
 	Limit            pace.Belief // on requests per second
 	LimitedUntil     time.Time   // until when it costs more because it names a limit
-	LimitTold        time.Time   // when a changed limit was last reported to its owner, by package clock
-	LimitNews        time.Time   // when other hosts were last notified that it names a limit, or no longer one, by package clock
+	LimitReportedAt  time.Time   // when a changed limit was last reported to its owner, by package clock
+	LimitAnnouncedAt time.Time   // when other hosts were last notified that it names a limit, or no longer one, by package clock
 	Notices          *Notices    // what its responses to this host announced; nil: nothing
 	Digest           Digest
-	At               time.Time // when the digest was made; zero: no digest
-	Own              bool      // this host owns it: asking it needs no message
-	Sent             int       // requests from this host in flight
+	DigestAt         time.Time // when the digest was made; zero: no digest
+	Owned            bool      // this host owns it: asking it needs no message
+	InFlight         int       // requests from this host in flight
 	Connections      int       // that the endpoint accepts from all hosts together; 0: unlimited
-	Seen             CallStats
+	Calls            CallStats
 }
 
 // Number returns the number that stands for an endpoint's name in messages.
@@ -83,19 +83,19 @@
 	return s.Leaving || s.Digest.Flags&FlagLeaving != 0 || s.Notices != nil && s.Notices.Leaving
 }
 
-// IsResting reports whether this host backs off from the endpoint now.
-func (s *State) IsResting(now time.Time) bool { return s.Notices.isBackingOff(now) }
+// IsBackingOff reports whether this host backs off from the endpoint now.
+func (s *State) IsBackingOff(now time.Time) bool { return s.Notices.isBackingOff(now) }
 
 // Age returns the age of the last digest; below 0: there is none.
 func (s *State) Age(now time.Time) time.Duration {
-	if s.At.IsZero() {
+	if s.DigestAt.IsZero() {
 		return -1
 	}
-	return now.Sub(s.At)
+	return now.Sub(s.DigestAt)
 }
 
-// Slow returns the learned factor on the endpoint's configured times.
-func (s *State) Slow() float64 {
+// SlowFactor returns the learned factor on the endpoint's configured times.
+func (s *State) SlowFactor() float64 {
 	if s.Digest.SlowPct == 0 {
 		return 1
 	}
@@ -104,12 +104,12 @@
 
 // CallStats sums up the outcomes of this host's own calls to an endpoint. Older calls count less.
 type CallStats struct {
-	Failed                 float64   // decaying share of failed calls, as of At
-	At                     time.Time // of the last call
-	Shun                   time.Time // until when it counts as unreachable
+	FailedShare            float64   // decaying share of failed calls, as of At
+	LastCall               time.Time // of the last call
+	UnreachableUntil       time.Time // until when it counts as unreachable
 	ConsecutiveUnreachable int       // consecutive calls that didn't reach it
-	Full                   time.Time // until when it counts as full
-	Took                   float64   // average seconds of a call
+	FullUntil              time.Time // until when it counts as full
+	MeanSeconds            float64   // average seconds of a call
 }
 
 // Times and weights of CallStats. Each further call that doesn't reach the endpoint doubles
@@ -128,51 +128,51 @@
 
 // The outcomes of a call.
 const (
-	SightWhole  CallOutcome = iota // it answered
-	SightFailed                    // it failed or aborted its answer
-	SightFull                      // it refused for lack of capacity
-	SightGone                      // it was unreachable, or another endpoint has its address
+	OutcomeCompleted   CallOutcome = iota // it answered
+	OutcomeFailed                         // it failed or aborted its answer
+	OutcomeFull                           // it refused for lack of capacity
+	OutcomeUnreachable                    // it was unreachable, or another endpoint has its address
 )
 
-// Note records the outcome of one call.
-func (x *CallStats) Note(now time.Time, s CallOutcome, took time.Duration) {
-	x.Failed, x.At = x.Failing(now), now
+// Record records the outcome of one call.
+func (x *CallStats) Record(now time.Time, s CallOutcome, took time.Duration) {
+	x.FailedShare, x.LastCall = x.FailureRate(now), now
 	switch s {
-	case SightWhole:
-		x.Failed -= failureWeight * x.Failed
-		x.ConsecutiveUnreachable, x.Shun = 0, time.Time{}
-		if x.Took == 0 {
-			x.Took = took.Seconds()
+	case OutcomeCompleted:
+		x.FailedShare -= failureWeight * x.FailedShare
+		x.ConsecutiveUnreachable, x.UnreachableUntil = 0, time.Time{}
+		if x.MeanSeconds == 0 {
+			x.MeanSeconds = took.Seconds()
 		}
-		x.Took += tookWeight * (took.Seconds() - x.Took)
-	case SightFailed:
-		x.Failed += failureWeight * (1 - x.Failed)
-	case SightFull:
-		x.Full = now.Add(fullFor)
-	case SightGone:
-		x.Shun = now.Add(min(firstUnreachable<<min(x.ConsecutiveUnreachable, 8), maxUnreachable))
+		x.MeanSeconds += tookWeight * (took.Seconds() - x.MeanSeconds)
+	case OutcomeFailed:
+		x.FailedShare += failureWeight * (1 - x.FailedShare)
+	case OutcomeFull:
+		x.FullUntil = now.Add(fullFor)
+	case OutcomeUnreachable:
+		x.UnreachableUntil = now.Add(min(firstUnreachable<<min(x.ConsecutiveUnreachable, 8), maxUnreachable))
 		x.ConsecutiveUnreachable++
 	}
 }
 
-// Failing returns the share of calls that failed recently.
-func (x *CallStats) Failing(now time.Time) float64 {
-	if x.At.IsZero() {
+// FailureRate returns the share of calls that failed recently.
+func (x *CallStats) FailureRate(now time.Time) float64 {
+	if x.LastCall.IsZero() {
 		return 0
 	}
-	return x.Failed * math.Exp2(-now.Sub(x.At).Seconds()/failureHalfLife.Seconds())
+	return x.FailedShare * math.Exp2(-now.Sub(x.LastCall).Seconds()/failureHalfLife.Seconds())
 }
 
-// Free reports whether an endpoint can take another request, as far as this host knows.
-func (s *State) Free(now time.Time) bool {
-	if s.Limited(now) || s.Cold(now) || s.Seen.Shunned(now) || now.Before(s.Seen.Full) {
+// HasCapacity reports whether an endpoint can take another request, as far as this host knows.
+func (s *State) HasCapacity(now time.Time) bool {
+	if s.IsLimited(now) || s.IsCold(now) || s.Calls.IsUnreachable(now) || now.Before(s.Calls.FullUntil) {
 		return false
 	}
-	return s.Role != config.Decode || s.At.IsZero() || s.Digest.FreeSlots > 0
+	return s.Role != config.Decode || s.DigestAt.IsZero() || s.Digest.FreeSlots > 0
 }
 
-// Shunned reports whether the endpoint counts as unreachable.
-func (x *CallStats) Shunned(now time.Time) bool { return now.Before(x.Shun) }
+// IsUnreachable reports whether the endpoint counts as unreachable.
+func (x *CallStats) IsUnreachable(now time.Time) bool { return now.Before(x.UnreachableUntil) }
 
 // Uncached returns how many of the prompt's tokens the endpoint has to prefill. Cache events come
 // late and with gaps, so the cached part is weighted by how reliable they proved to be.
@@ -191,7 +191,7 @@
 
 // PrefillTime returns the time to prefill the tokens, without queueing.
 func (s *State) PrefillTime(tokens int) time.Duration {
-	return time.Duration(s.Digest.LagMillis)*time.Millisecond + time.Duration(float64(tokens)/s.Spec.TokensPerSecond*s.Slow()*float64(time.Second))
+	return time.Duration(s.Digest.LagMillis)*time.Millisecond + time.Duration(float64(tokens)/s.Spec.TokensPerSecond*s.SlowFactor()*float64(time.Second))
 }
 
 // StepTime returns the duration of a decode step with n requests in the batch.
--- a/route/ways_test.go
+++ b/route/ways_test.go
@@ -53,18 +53,18 @@
 		}
 		engines[e.Name] = new(modelEngine)
 		names = append(names, e.Name)
-		fleets[len(names)%modelHosts].SetOwn(Number(e.Name), true)
+		fleets[len(names)%modelHosts].SetOwned(Number(e.Name), true)
 	}
 	at, sum, hits, n := time.Duration(0), time.Duration(0), 0, 0
 	report := func(f *Fleet, name string) {
 		e := engines[name]
 		d := Digest{Number: Number(name), TrustPct: 100, Heads: append([]HeadDigest{}, e.cached...), QueueMillis: uint32(max(0, e.freeAt-at).Milliseconds())}
-		f.Learn(d, now.Add(at))
+		f.UpdateDigest(d, now.Add(at))
 	}
 	for tick := range modelTicks {
 		at = time.Duration(tick) * modelTick
 		for h, f := range fleets {
-			for s := range f.Own() {
+			for s := range f.Owned() {
 				report(f, s.Spec.Name)
 			}
 			if (tick+h)%modelReportTicks == 0 {
--- a/tool/remote.go
+++ b/tool/remote.go
@@ -216,7 +216,7 @@
 			if c.Cost < 0 {
 				cost = "-"
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%.3fs\t%d\t%d\t%s\t%s\n", mark, c.Endpoint, c.Role, c.Domain, cost, c.Queue, c.Uncached, c.Free, formatAge(c.Age), c.Why)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%.3fs\t%d\t%d\t%s\t%s\n", mark, c.Endpoint, c.Role, c.Domain, cost, c.Queue, c.Uncached, c.Free, formatAge(c.Age), c.Reason)
 		}
 	})
 	return nil
