--- a/blackboard/endpoints.go
+++ b/blackboard/endpoints.go
@@ -61,10 +61,10 @@
 
 // Hear records the limit that an endpoint named in a response, and returns what it changes.
 // now is by package clock.
-func (t *EndpointTable) Hear(number uint32, now time.Time, w pace.Word) (c pace.Change) {
+func (t *EndpointTable) Hear(number uint32, now time.Time, w pace.Report) (c pace.Change) {
 	t.Touch(number, func(s *route.State) {
-		c = s.Limit.Hear(now, w)
-		s.LimitedUntil = time.Now().Add(s.Limit.Fresh(now))
+		c = s.Limit.Observe(now, w)
+		s.LimitedUntil = time.Now().Add(s.Limit.PenaltyLeft(now))
 		if c == pace.ChangeEnded {
 			s.NoPermitUntil, s.RetryAt = time.Time{}, time.Time{}
 		}
--- a/entry/ends.go
+++ b/entry/ends.go
@@ -42,7 +42,7 @@
 func (e *Entry) endRun(ctx context.Context, j *job, r engineRun, chunks int, err error) {
 	switch {
 	case err == nil && !r.partial:
-		e.announceMarks(e.board.Suspects.Whole(r.Run, clock.Now()))
+		e.announceMarks(e.board.Suspects.RecordSuccess(r.Run, clock.Now()))
 		e.endProbe(j)
 	case err == nil:
 		e.endProbe(j)
@@ -66,7 +66,7 @@
 	case <-en.firstCheck:
 	case <-limited.Done():
 	}
-	if e.crashes.findingOf(en) == quarantine.FindingEnded {
+	if e.crashes.findingOf(en) == quarantine.FindingCrashed {
 		j.probing, j.settled = false, false
 		if !r.Old {
 			j.crashCount++
@@ -121,12 +121,12 @@
 func (s *crashTracker) track(r engineRun, holder uint64) *crashCheck {
 	s.mu.Lock()
 	en := s.checks[r.proc]
-	if en != nil && en.finding == quarantine.FindingEnded && r.started.Before(en.foundAt) {
+	if en != nil && en.finding == quarantine.FindingCrashed && r.started.Before(en.foundAt) {
 		s.mu.Unlock()
 		s.entry.recordCrash(en, []quarantine.Run{r.Run}, []uint64{holder})
 		return en
 	}
-	if en == nil || en.finding != quarantine.FindingOpen {
+	if en == nil || en.finding != quarantine.FindingUnknown {
 		en = &crashCheck{proc: r.proc, spec: r.spec, planned: s.entry.isLeaving(r.spec), since: clock.Now(), firstCheck: make(chan struct{})}
 		s.checks[r.proc] = en
 		go s.poll(en)
@@ -151,7 +151,7 @@
 	for {
 		finding := s.entry.checkProcess(ctx, en)
 		since := clock.Now().Sub(en.since)
-		over := finding != quarantine.FindingOpen || since >= quarantine.AskFor
+		over := finding != quarantine.FindingUnknown || since >= quarantine.PollFor
 		if over {
 			s.conclude(en, finding)
 		}
@@ -162,10 +162,10 @@
 		if over {
 			break
 		}
-		wait.For(ctx, quarantine.NextAsk(since))
+		wait.For(ctx, quarantine.NextPoll(since))
 	}
-	if s.findingOf(en) == quarantine.FindingEnded {
-		wait.For(ctx, quarantine.AskFor) // for calls that detect later that they broke off
+	if s.findingOf(en) == quarantine.FindingCrashed {
+		wait.For(ctx, quarantine.PollFor) // for calls that detect later that they broke off
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -176,15 +176,15 @@
 
 // conclude records what became of a process and ends the probes of its runs.
 func (s *crashTracker) conclude(en *crashCheck, f quarantine.Finding) {
-	if f == quarantine.FindingOpen {
-		f = quarantine.FindingLives // there is no sign of a crash
+	if f == quarantine.FindingUnknown {
+		f = quarantine.FindingAlive // there is no sign of a crash
 	}
 	s.mu.Lock()
 	en.finding, en.foundAt = f, clock.Now()
 	runs, holders := en.runs, en.holders
 	en.runs, en.holders = nil, nil
 	s.mu.Unlock()
-	if f == quarantine.FindingEnded {
+	if f == quarantine.FindingCrashed {
 		s.entry.recordCrash(en, runs, holders)
 		return
 	}
@@ -197,7 +197,7 @@
 	sign, started := e.processSign(ctx, en.proc)
 	e.board.Endpoints.Find(route.Number(en.spec.Name), func(_ *config.View, s *route.State) {
 		if en.proc.started > 0 && s.Spec.Born > en.proc.started {
-			sign = quarantine.SignLater
+			sign = quarantine.EvidenceRestarted
 		}
 	})
 	if started > en.proc.started {
@@ -205,7 +205,7 @@
 		e.crashes.startTimes[en.proc.address] = started
 		e.crashes.mu.Unlock()
 	}
-	return sign.Judge(en.planned)
+	return sign.Evaluate(en.planned)
 }
 
 // isLeaving reports whether an endpoint is about to stop as planned: it is leaving, it is
@@ -221,12 +221,12 @@
 // recordCrash records that an endpoint crashed under some runs.
 func (e *Entry) recordCrash(en *crashCheck, runs []quarantine.Run, holders []uint64) {
 	process := quarantine.ProcessOf(en.proc.address, en.proc.started)
-	rows := e.board.Suspects.Ended(runs, process, en.spec.Name, clock.Now())
+	rows := e.board.Suspects.RecordCrash(runs, process, en.spec.Name, clock.Now())
 	e.logCrash(en, runs, rows)
 	e.announceMarks(rows)
 	e.endProbes(runs, holders)
 	time.AfterFunc(quarantine.ExplainWait, func() {
-		due := e.board.Suspects.Due(clock.Now())
+		due := e.board.Suspects.DueRows(clock.Now())
 		if len(due) > 0 {
 			e.logCrash(en, nil, due)
 		}
@@ -268,7 +268,7 @@
 
 // endProbes ends the probes of runs, if they were any.
 func (e *Entry) endProbes(runs []quarantine.Run, holders []uint64) {
-	if e.board.Suspects.Quiet() {
+	if e.board.Suspects.Empty() {
 		return
 	}
 	for i, r := range runs {
--- a/entry/heard.go
+++ b/entry/heard.go
@@ -38,7 +38,7 @@
 // countNotices counts a call to an endpoint that has sent notices about itself.
 func (e *Entry) countNotices(spec *config.Endpoint, now time.Time) {
 	e.board.Endpoints.Find(route.Number(spec.Name), func(_ *config.View, s *route.State) {
-		if s.Limit.Word().Named {
+		if s.Limit.Report().Named {
 			e.Heard.Limited.Add(1)
 		}
 		if s.Notices == nil {
@@ -60,9 +60,9 @@
 	case s.Unreadable != "":
 		e.recordUnreadable(&e.Heard.BadLimits, "endpoint names a limit that can't be read", spec, s.Unreadable)
 	case s.Named:
-		e.owners.Heard(spec, pace.Word{Named: true, PerSecond: s.PerSecond, At: clock.Now(), Born: spec.Born})
+		e.owners.Heard(spec, pace.Report{Named: true, PerSecond: s.PerSecond, At: clock.Now(), Born: spec.Born})
 	case n.Certain:
-		e.owners.Heard(spec, pace.Word{At: sent, Born: spec.Born})
+		e.owners.Heard(spec, pace.Report{At: sent, Born: spec.Born})
 	}
 }
 
--- a/entry/limited_test.go
+++ b/entry/limited_test.go
@@ -61,7 +61,7 @@
 				b := serviceBoard(t, endpoints)
 				v := b.Config.View()
 				for i := range endpoints {
-					b.Endpoints.Hear(route.Number(fmt.Sprint("s", i)), clock.Now(), pace.Word{Named: true, PerSecond: 1, At: clock.Now()})
+					b.Endpoints.Hear(route.Number(fmt.Sprint("s", i)), clock.Now(), pace.Report{Named: true, PerSecond: 1, At: clock.Now()})
 				}
 				s := &coldScene{leavingScene: &leavingScene{t: t, board: b}}
 				for range tc.without {
--- a/entry/place_test.go
+++ b/entry/place_test.go
@@ -85,7 +85,7 @@
 }
 func (s *stubOwners) TrialDone(request.Fingerprint, uint64, bool) {}
 func (s *stubOwners) TellMarks([]quarantine.Row)                  {}
-func (s *stubOwners) Heard(*config.Endpoint, pace.Word)           {}
+func (s *stubOwners) Heard(*config.Endpoint, pace.Report)         {}
 
 func (s *stubOwners) Start(context.Context, *config.Endpoint, peer.StartAsk) peer.Start {
 	return peer.Start{Given: true, Until: time.Now().Add(time.Second)}
--- a/entry/read.go
+++ b/entry/read.go
@@ -26,7 +26,7 @@
 	if p.prefillAttempt.Number == 0 {
 		p.prefillAttempt = e.board.Requests.Open(j.id)
 	}
-	elsewhere, refusal := e.acquireProbeAt(ctx, j, p.prefillSpec, quarantine.Reading)
+	elsewhere, refusal := e.acquireProbeAt(ctx, j, p.prefillSpec, quarantine.Prefilling)
 	if elsewhere || refusal != nil {
 		e.releasePrefill(p)
 		e.board.Requests.Close(p.prefillAttempt)
@@ -49,7 +49,7 @@
 	began := time.Now()
 	number := route.Number(p.prefillSpec.Name)
 	e.owners.Touched(number, 1)
-	r := e.beginRun(j, p.prefillSpec, quarantine.Reading)
+	r := e.beginRun(j, p.prefillSpec, quarantine.Prefilling)
 	ans, err := e.engine.Prefill(limited, e.newCall(j, p.prefillSpec, p.prefillAttempt), j.work)
 	e.owners.Touched(number, -1)
 	e.recordCall(ctx, j, p.prefillSpec, blackboard.PhasePrefill, err, time.Since(began))
--- a/entry/relay.go
+++ b/entry/relay.go
@@ -164,7 +164,7 @@
 			e.setPhase(j, blackboard.PhaseDecode, nil)
 		}
 		w.progress()
-		if w.answeringTime() >= quarantine.Settled {
+		if w.answeringTime() >= quarantine.SettledAfter {
 			e.settleProbe(j)
 		}
 		inv := e.board.Invariant
--- a/entry/start.go
+++ b/entry/start.go
@@ -67,7 +67,7 @@
 // requestPermit asks the owner for a permit that is valid within wait.
 func (e *Entry) requestPermit(ctx context.Context, j *job, spec *config.Endpoint, b route.Reason, wait time.Duration) peer.Start {
 	s := e.owners.Start(ctx, spec, peer.StartAsk{Wait: max(0, wait), Warm: b == route.ReasonLimited,
-		Asker: pace.Asker{Team: j.teamNumber, Priority: j.priority}})
+		Asker: pace.Requester{Team: j.teamNumber, Priority: j.priority}})
 	if !s.Given {
 		s.In = max(s.In, minPermitRetry)
 	}
@@ -92,7 +92,7 @@
 // elsewhere shouldn't queue for long, and not at all while other endpoints of the pool have
 // capacity.
 func (e *Entry) maxPermitWait(j *job, spec *config.Endpoint) time.Duration {
-	maxWait := max(pace.LeastWait, min(pace.MostWait, j.slack()))
+	maxWait := max(pace.MinWait, min(pace.MaxWait, j.slack()))
 	e.board.Endpoints.Read(func(fleet *route.Fleet) {
 		v := fleet.View
 		g := j.group(fleet)
@@ -177,10 +177,10 @@
 	soonest, retryAfter := uint32(0), time.Duration(math.MaxInt64)
 	for _, number := range list {
 		e.board.Endpoints.Find(number, func(_ *config.View, s *route.State) {
-			if !s.IsCold(now) && !s.Limit.Word().Named {
+			if !s.IsCold(now) && !s.Limit.Report().Named {
 				return
 			}
-			if in := max(s.NoPermitUntil.Sub(now)+pace.LeastWait, s.RetryAt.Sub(now)); in < retryAfter {
+			if in := max(s.NoPermitUntil.Sub(now)+pace.MinWait, s.RetryAt.Sub(now)); in < retryAfter {
 				soonest, retryAfter = number, in
 			}
 		})
@@ -190,7 +190,7 @@
 	}
 	retryAfter = min(max(retryAfter, 0), maxPermitRetryAfter)
 	e.board.Endpoints.Touch(soonest, func(s *route.State) {
-		if w := s.Limit.Word(); w.Named {
+		if w := s.Limit.Report(); w.Named {
 			s.RetryAt = now.Add(retryAfter + time.Duration(float64(time.Second)/max(w.PerSecond, 1/maxPermitRetryAfter.Seconds())))
 		}
 	})
--- a/entry/suspect.go
+++ b/entry/suspect.go
@@ -54,7 +54,7 @@
 // runCapacity returns how many endpoints may run a request, or 0 if no request is
 // suspected.
 func (e *Entry) runCapacity(j *job) (n int) {
-	if e.board.Suspects.Quiet() {
+	if e.board.Suspects.Empty() {
 		return 0
 	}
 	e.board.Endpoints.Read(func(fleet *route.Fleet) {
@@ -120,12 +120,12 @@
 // requestProbe implements acquireProbe and acquireProbeAt. The caller sets all of a but the
 // request and its holder.
 func (e *Entry) requestProbe(ctx context.Context, j *job, a quarantine.Ask, maxWait time.Duration) (elsewhere bool, refusal *result.Error) {
-	if e.board.Suspects.Quiet() {
+	if e.board.Suspects.Empty() {
 		return false, nil
 	}
 	interval := probePollStart
 	for end := time.Now().Add(maxWait); ; interval = min(2*interval, probePollMax) {
-		verdict, retryIn := e.board.Suspects.Judge(j.fingerprint, clock.Now())
+		verdict, retryIn := e.board.Suspects.Evaluate(j.fingerprint, clock.Now())
 		if verdict == quarantine.Free {
 			return false, nil
 		}
@@ -150,10 +150,10 @@
 // quarantineRefusal returns the refusal of a request that isn't sent to any endpoint now,
 // or nil.
 func (e *Entry) quarantineRefusal(j *job) *result.Error {
-	if e.board.Suspects.Quiet() {
+	if e.board.Suspects.Empty() {
 		return nil
 	}
-	verdict, retryIn := e.board.Suspects.Judge(j.fingerprint, clock.Now())
+	verdict, retryIn := e.board.Suspects.Evaluate(j.fingerprint, clock.Now())
 	return e.verdictRefusal(j, verdict, retryIn)
 }
 
--- a/entry/trial_test.go
+++ b/entry/trial_test.go
@@ -52,7 +52,7 @@
 			j.fingerprint = request.Fingerprint{1}
 			now := clock.Now()
 			run := s.board.Suspects.Begin(j.fingerprint, quarantine.Running, 0)
-			s.board.Suspects.Ended([]quarantine.Run{run}, quarantine.ProcessOf("10.0.0.9:1", 1), "d9", now)
+			s.board.Suspects.RecordCrash([]quarantine.Run{run}, quarantine.ProcessOf("10.0.0.9:1", 1), "d9", now)
 			if err := s.board.Requests.Begin(blackboard.Request{ID: j.id, Team: "t"}, 0, 0); err != nil {
 				t.Fatal(err)
 			}
--- a/entry/watchdog.go
+++ b/entry/watchdog.go
@@ -127,9 +127,9 @@
 		switch {
 		case ctx.Err() != nil:
 			return true // the call is over
-		case sign == quarantine.SignRefused, sign == quarantine.SignLater:
+		case sign == quarantine.EvidenceRefused, sign == quarantine.EvidenceRestarted:
 			return false
-		case sign != quarantine.SignNone:
+		case sign != quarantine.EvidenceNone:
 			return true
 		case time.Since(began) < reportTimeout+maxTimerDelay:
 			unanswered++
@@ -143,19 +143,19 @@
 
 // processSign asks an endpoint for its report once. It returns what that shows of a
 // process, and the start time in the report if that is a later process's, else 0.
-func (e *Entry) processSign(ctx context.Context, at process) (sign quarantine.Sign, started int64) {
+func (e *Entry) processSign(ctx context.Context, at process) (sign quarantine.Evidence, started int64) {
 	limited, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	st, err := e.engine.State(limited, at.address)
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return quarantine.SignRefused, 0
+		return quarantine.EvidenceRefused, 0
 	case limited.Err() != nil:
-		return quarantine.SignNone, 0
+		return quarantine.EvidenceNone, 0
 	case err != nil:
-		return quarantine.SignBusy, 0
+		return quarantine.EvidenceBusy, 0
 	case at.replacedIn(st):
-		return quarantine.SignLater, int64(st.Incarnation)
+		return quarantine.EvidenceRestarted, int64(st.Incarnation)
 	}
-	return quarantine.SignLives, 0
+	return quarantine.EvidenceAlive, 0
 }
--- a/ledger/copies.go
+++ b/ledger/copies.go
@@ -7,11 +7,11 @@
 	"github.com/embercove/embercove/route"
 )
 
-// ReserveCopy reserves memory for a replica of the KV cache of a request that runs on another
+// ReserveReplica reserves memory for a replica of the KV cache of a request that runs on another
 // engine, if spare tokens stay free beside it for its whole time. It is granted now or not at all,
 // so that it never delays a request. It is released like any reservation, and expires no later than
 // a reservation that was never used.
-func (l *Ledger) ReserveCopy(now time.Time, a Ask, spare int) *result.Error {
+func (l *Ledger) ReserveReplica(now time.Time, a Request, spare int) *result.Error {
 	l.expire(now)
 	step := l.step()
 	c := l.newcomer(a.Tokens+spare, a.Expected, a.MaxAnswer, step)
--- a/ledger/copies_test.go
+++ b/ledger/copies_test.go
@@ -27,7 +27,7 @@
 			l.slots = tc.slots
 			granted := 0
 			for n := range 20 {
-				if l.ReserveCopy(at(0), growingArgs(100+n, 8000, 300, 0), 18_000) == nil {
+				if l.ReserveReplica(at(0), growingArgs(100+n, 8000, 300, 0), 18_000) == nil {
 					granted++
 				}
 			}
--- a/ledger/fair.go
+++ b/ledger/fair.go
@@ -30,7 +30,7 @@
 
 // reservedForOthers returns the memory that a request has to leave for others that were refused
 // before and whose teams hold less.
-func (l *Ledger) reservedForOthers(now time.Time, a Ask, weights func(uint32) float64) int {
+func (l *Ledger) reservedForOthers(now time.Time, a Request, weights func(uint32) float64) int {
 	reserved, own := 0, l.heldBy(a.Team, weights)
 	for id, w := range l.refused {
 		switch {
@@ -67,7 +67,7 @@
 }
 
 // refuse refuses a request and remembers that it needs memory.
-func (l *Ledger) refuse(now time.Time, a Ask, within, retryAfter time.Duration) *result.Error {
+func (l *Ledger) refuse(now time.Time, a Request, within, retryAfter time.Duration) *result.Error {
 	l.refused[a.Attempt.ID] = refusedRequest{team: a.Team, tokens: a.Tokens + a.MaxAnswer, until: now.Add(retryAfter + refusedGrace)}
 	return result.Errorf(result.NoDecodeMemory, "no decode memory on %s within %s", l.spec.Name, within).After(retryAfter)
 }
--- a/ledger/growing.go
+++ b/ledger/growing.go
@@ -133,12 +133,12 @@
 
 // reserveGrowing finds the first time at which the request fits from its start to its end, or
 // refuses it with the time after which it would fit.
-func (l *Ledger) reserveGrowing(now time.Time, a Ask) (time.Time, *result.Error) {
+func (l *Ledger) reserveGrowing(now time.Time, a Request) (time.Time, *result.Error) {
 	step := l.step()
 	l.typical.Learn(a.Tokens, a.MaxAnswer, a.Expected)
 	l.estimates.Observe(a.Expected)
 	c := l.newcomer(a.Tokens, a.Expected, a.MaxAnswer, step)
-	wanted := now.Add(a.In)
+	wanted := now.Add(a.PrefillIn)
 	latest := wanted.Add(a.Slack)
 	last := int((latest.Sub(now)+searchBeyond)/growthStep) + 1
 	line := l.timeline(now, last+len(c))
--- a/ledger/growing_test.go
+++ b/ledger/growing_test.go
@@ -21,7 +21,7 @@
 	return l
 }
 
-func growingArgs(n, prompt, estimate, slack int) Ask {
+func growingArgs(n, prompt, estimate, slack int) Request {
 	a := reserveArgs(n, prompt, 10_880, 0, slack)
 	a.Expected, a.Bytes = estimate, 0
 	return a
@@ -70,7 +70,7 @@
 	for now := 0; now < 60_000; now += 50 {
 		for n, x := range running {
 			if now >= x.start+x.length {
-				l.Release(at(now), End{Attempt: attempt(n), Whole: true, Answer: x.length, Max: 10_880, Expected: x.guess})
+				l.Release(at(now), End{Attempt: attempt(n), Complete: true, Answer: x.length, Max: 10_880, Expected: x.guess})
 				delete(running, n)
 			}
 		}
@@ -104,20 +104,20 @@
 func TestGrowingList(t *testing.T) {
 	l := growingLedger(t)
 	a := growingArgs(1, 3_000, 500, 0)
-	a.Mark = Foreign("9c41").ID.Counter
+	a.IDHash = ForeignAttempt("9c41").ID.Counter
 	if _, err := l.Reserve(at(0), a, evenWeights); err != nil {
 		t.Fatal(err)
 	}
-	l.Listed(at(100), running("9c41", "77"))
+	l.ApplyList(at(100), running("9c41", "77"))
 	if len(l.rows) != 2 || !l.rows[attempt(1)].seen {
 		t.Fatalf("rows %v: want the own one seen and one foreign", l.rows)
 	}
-	l.Release(at(200), End{Attempt: attempt(1), Whole: true})
-	l.Listed(at(300), running("9c41"))
+	l.Release(at(200), End{Attempt: attempt(1), Complete: true})
+	l.ApplyList(at(300), running("9c41"))
 	if len(l.rows) != 0 {
 		t.Errorf("%d rows after both ended, want none", len(l.rows))
 	}
-	l.Listed(at(300).Add(2*endedKept), running("9c41"))
+	l.ApplyList(at(300).Add(2*endedKept), running("9c41"))
 	if len(l.rows) != 1 {
 		t.Errorf("%d rows, want one that runs again under an id used before", len(l.rows))
 	}
@@ -127,7 +127,7 @@
 func running(ids ...string) map[request.Attempt]endpoint.Running {
 	out := map[request.Attempt]endpoint.Running{}
 	for _, id := range ids {
-		out[Foreign(id)] = endpoint.Running{ID: id, Tokens: 4_000}
+		out[ForeignAttempt(id)] = endpoint.Running{ID: id, Tokens: 4_000}
 	}
 	return out
 }
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -16,16 +16,16 @@
 	"github.com/embercove/embercove/route"
 )
 
-// Ask is a request for memory at a later time.
-type Ask struct {
+// Request is a request for memory at a later time.
+type Request struct {
 	Attempt   request.Attempt
 	Team      uint32
 	Tokens    int // of the prompt
 	MaxAnswer int
 	Expected  int           // answer tokens estimated by the caller; 0: none
-	Mark      uint64        // hash of the id under which the engine lists the request; 0: the attempt itself
+	IDHash    uint64        // hash of the id under which the engine lists the request; 0: the attempt itself
 	Bytes     int64         // to transfer
-	In        time.Duration // until the end of the prefill, as forecast
+	PrefillIn time.Duration // until the end of the prefill, as forecast
 	Slack     time.Duration // how much later the start may be
 }
 
@@ -59,12 +59,12 @@
 func New(v *config.View, spec *config.Endpoint, share float64) *Ledger {
 	l := &Ledger{rows: map[request.Attempt]*row{}, refused: map[request.ID]refusedRequest{}, estimates: forecast.NewEstimates(),
 		ended: map[request.Attempt]time.Time{}, byIDHash: map[uint64]request.Attempt{}}
-	l.Fit(v, spec, share)
+	l.Configure(v, spec, share)
 	return l
 }
 
-// Fit applies the sizes of a configuration revision.
-func (l *Ledger) Fit(v *config.View, spec *config.Endpoint, share float64) {
+// Configure applies the sizes of a configuration revision.
+func (l *Ledger) Configure(v *config.View, spec *config.Endpoint, share float64) {
 	l.spec, l.share = spec, share
 	l.slots = max(1, int(float64(route.BatchLimit(spec, v.Doc.Targets.TPOT()))*share))
 	l.mode, l.learnsMargin, l.fullShare = v.Doc.Policy.Forecast, true, v.FullShare()
@@ -175,14 +175,14 @@
 
 // Reserve finds the first time at which the request fits, or refuses it with the time after which
 // it would fit.
-func (l *Ledger) Reserve(now time.Time, a Ask, weights func(uint32) float64) (time.Time, *result.Error) {
+func (l *Ledger) Reserve(now time.Time, a Request, weights func(uint32) float64) (time.Time, *result.Error) {
 	l.expire(now)
 	if l.spec.GrowsMemory {
 		return l.reserveGrowing(now, a)
 	}
 	tokens := a.Tokens + a.MaxAnswer
 	l.typical.Learn(a.Tokens, a.MaxAnswer, a.Expected)
-	wanted := now.Add(a.In)
+	wanted := now.Add(a.PrefillIn)
 	latest := wanted.Add(a.Slack)
 	transfer := route.LinkTime(l.spec, a.Bytes)
 	reserved := l.reservedForOthers(now, a, weights)
@@ -230,7 +230,7 @@
 // End describes how an attempt ended.
 type End struct {
 	Attempt  request.Attempt
-	Whole    bool          // the answer is complete; otherwise nothing is learned
+	Complete bool          // the answer is complete; otherwise nothing is learned
 	Answer   int           // tokens decoded
 	Max      int           // tokens requested at most
 	Expected int           // tokens estimated by the caller; 0: none
@@ -240,7 +240,7 @@
 
 // Release drops an attempt's row and learns from its answer.
 func (l *Ledger) Release(now time.Time, e End) {
-	if e.Whole {
+	if e.Complete {
 		l.answers.Learn(e.Answer, e.Max)
 		l.estimates.Learn(e.Answer, e.Expected)
 		l.learnMargin(e.Waited)
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -35,8 +35,8 @@
 
 func attempt(n int) request.Attempt { return request.Attempt{Number: uint32(n)} }
 
-func reserveArgs(n, tokens, answer, in, slack int) Ask {
-	return Ask{Attempt: attempt(n), Tokens: tokens, MaxAnswer: answer, Bytes: int64(tokens) * 50_000, In: ms(in), Slack: ms(slack), Team: 1}
+func reserveArgs(n, tokens, answer, in, slack int) Request {
+	return Request{Attempt: attempt(n), Tokens: tokens, MaxAnswer: answer, Bytes: int64(tokens) * 50_000, PrefillIn: ms(in), Slack: ms(slack), Team: 1}
 }
 
 // TestLedger checks sequences of reservations, each given as prompt, answer, in and slack. want
@@ -89,7 +89,7 @@
 		}
 	}
 	held := map[request.Attempt]endpoint.Running{attempt(0): {Tokens: 3100}, attempt(9): {Tokens: 500}}
-	l.Listed(at(100), held)
+	l.ApplyList(at(100), held)
 	l.expire(at(60_000))
 	if _, there := l.rows[attempt(0)]; !there {
 		t.Error("a request that the engine holds was dropped when its lease expired")
@@ -100,7 +100,7 @@
 	if r, there := l.rows[attempt(9)]; !there || r.tokens != 500 {
 		t.Error("a request that only the engine knows doesn't count")
 	}
-	l.Listed(at(60_100), nil)
+	l.ApplyList(at(60_100), nil)
 	if len(l.rows) != 0 {
 		t.Errorf("%d rows left after the engine's list is empty", len(l.rows))
 	}
--- a/ledger/listed.go
+++ b/ledger/listed.go
@@ -10,8 +10,8 @@
 // The answer of an unknown request is assumed to be at most 1/foreignAnswerDivisor of its memory.
 const foreignAnswerDivisor = 4
 
-// Listed applies the engine's own list: what it holds counts, and what it no longer holds doesn't.
-func (l *Ledger) Listed(now time.Time, list map[request.Attempt]endpoint.Running) {
+// ApplyList applies the engine's own list: what it holds counts, and what it no longer holds doesn't.
+func (l *Ledger) ApplyList(now time.Time, list map[request.Attempt]endpoint.Running) {
 	for a, at := range l.ended {
 		if now.Sub(at) > endedKept {
 			delete(l.ended, a)
--- a/ledger/rows.go
+++ b/ledger/rows.go
@@ -54,11 +54,11 @@
 }
 
 // add enters a reservation.
-func (l *Ledger) add(a Ask, start, transferEnd, lease time.Time) {
+func (l *Ledger) add(a Request, start, transferEnd, lease time.Time) {
 	l.rows[a.Attempt] = &row{attempt: a.Attempt, team: a.Team, tokens: a.Tokens + a.MaxAnswer, prompt: a.Tokens,
-		maxAnswer: a.MaxAnswer, expected: a.Expected, idHash: a.Mark, start: start, transferEnd: transferEnd, lease: lease}
-	if a.Mark != 0 {
-		l.byIDHash[a.Mark] = a.Attempt
+		maxAnswer: a.MaxAnswer, expected: a.Expected, idHash: a.IDHash, start: start, transferEnd: transferEnd, lease: lease}
+	if a.IDHash != 0 {
+		l.byIDHash[a.IDHash] = a.Attempt
 	}
 }
 
@@ -70,11 +70,11 @@
 
 // Row is a row in the form handed to another owner.
 type Row struct {
-	Ask   Ask
-	Start time.Time // when the engine's memory is taken
-	Moved time.Time // end of the transfer
-	Lease time.Time // when it expires unless the engine has shown it
-	Seen  bool      // the engine's own list has it
+	Request     Request
+	Start       time.Time // when the engine's memory is taken
+	TransferEnd time.Time // end of the transfer
+	Lease       time.Time // when it expires unless the engine has shown it
+	Seen        bool      // the engine's own list has it
 }
 
 // Rows returns the rows that a successor can't read from the engine's list; for an engine whose
@@ -85,23 +85,23 @@
 		if r.seen && !l.spec.GrowsMemory {
 			continue
 		}
-		ask := Ask{Attempt: r.attempt, Team: r.team, Tokens: r.tokens - r.maxAnswer, MaxAnswer: r.maxAnswer, Expected: r.expected, Mark: r.idHash}
-		out = append(out, Row{Ask: ask, Start: r.start, Moved: r.transferEnd, Lease: r.lease, Seen: r.seen})
+		ask := Request{Attempt: r.attempt, Team: r.team, Tokens: r.tokens - r.maxAnswer, MaxAnswer: r.maxAnswer, Expected: r.expected, IDHash: r.idHash}
+		out = append(out, Row{Request: ask, Start: r.start, TransferEnd: r.transferEnd, Lease: r.lease, Seen: r.seen})
 	}
 	return out
 }
 
 // Accept adds a row of another owner, unless the attempt has ended or is known.
 func (l *Ledger) Accept(r Row) {
-	if _, over := l.ended[r.Ask.Attempt]; over || l.rows[r.Ask.Attempt] != nil {
+	if _, over := l.ended[r.Request.Attempt]; over || l.rows[r.Request.Attempt] != nil {
 		return
 	}
-	l.add(r.Ask, r.Start, r.Moved, r.Lease)
-	l.rows[r.Ask.Attempt].seen = r.Seen
+	l.add(r.Request, r.Start, r.TransferEnd, r.Lease)
+	l.rows[r.Request.Attempt].seen = r.Seen
 }
 
-// Foreign returns a stand-in for an attempt that embercove didn't send, recognizable by host 0. It
+// ForeignAttempt returns a stand-in for an attempt that embercove didn't send, recognizable by host 0. It
 // is never cancelled.
-func Foreign(id string) request.Attempt {
+func ForeignAttempt(id string) request.Attempt {
 	return request.Attempt{ID: request.ID{Counter: xxhash.Sum64String(id)}}
 }
--- a/ledger/steps.go
+++ b/ledger/steps.go
@@ -90,9 +90,9 @@
 	}
 }
 
-// Unpaced reports whether nothing is known of the engine's steps although it has work to learn
+// PaceUnknown reports whether nothing is known of the engine's steps although it has work to learn
 // from.
-func (l *Ledger) Unpaced() bool {
+func (l *Ledger) PaceUnknown() bool {
 	return l.spec.GrowsMemory && l.stepPace.Weight == 0 && len(l.rows) > 0
 }
 
--- a/ledger/steps_test.go
+++ b/ledger/steps_test.go
@@ -16,7 +16,7 @@
 			t.Fatal(err)
 		}
 		for ms := 0; ms <= 800; ms += 400 {
-			l.Listed(at(ms), map[request.Attempt]endpoint.Running{attempt(1): {Tokens: 3000 + ms*1000/step}})
+			l.ApplyList(at(ms), map[request.Attempt]endpoint.Running{attempt(1): {Tokens: 3000 + ms*1000/step}})
 		}
 	}
 	cases := []struct {
--- a/ledger/usual_test.go
+++ b/ledger/usual_test.go
@@ -8,7 +8,7 @@
 	wait := func(guess, asked int) int {
 		l := growingLedger(t)
 		for n := range 9 { // these fill it
-			l.add(Ask{Attempt: attempt(n), Tokens: 9_000, MaxAnswer: 4_000, Expected: 1_000 + 300*n}, at(0), at(0), at(60_000))
+			l.add(Request{Attempt: attempt(n), Tokens: 9_000, MaxAnswer: 4_000, Expected: 1_000 + 300*n}, at(0), at(0), at(60_000))
 		}
 		for range 30 {
 			l.typical.Learn(9_000, asked, guess)
--- a/node/status.go
+++ b/node/status.go
@@ -96,7 +96,7 @@
 	s.Regions = n.regions(v, now)
 	for _, a := range n.Board.Quotas.List(now) {
 		if t := v.TeamByNumber[a.Team]; t != nil {
-			s.Quotas = append(s.Quotas, QuotaStatus{t.Name, a.Limit.Rate, a.Level, a.Pace, a.Asked, a.Use, a.Missed})
+			s.Quotas = append(s.Quotas, QuotaStatus{t.Name, a.Limit.Rate, a.Level, a.Pace, a.Asked, a.Use, a.Unreachable})
 		}
 	}
 	n.Board.Endpoints.Read(func(fleet *route.Fleet) {
@@ -112,7 +112,7 @@
 	es := EndpointStatus{Endpoint: st.Spec.Name, Role: st.Role, Domain: st.Spec.Domain, State: stateName(st), Queue: st.Digest.QueueMillis,
 		Free: st.Digest.FreeTokens, Slots: st.Digest.FreeSlots, Slow: st.SlowFactor(), Failing: st.Digest.FailPct, Age: -1, Cold: st.ColdRemaining(now).Seconds()}
 	es.Starts, es.Refused = n.Owner.Starts.Count(st.Number)
-	if w := st.Limit.Word(); w.Named {
+	if w := st.Limit.Report(); w.Named {
 		es.Limit, es.LimitSince = &w.PerSecond, clock.Now().Sub(st.Limit.Since).Seconds()
 	}
 	if !st.DigestAt.IsZero() {
@@ -138,7 +138,7 @@
 		return "resting"
 	case st.IsCold(time.Now()):
 		return "cold"
-	case st.Limit.Word().Named:
+	case st.Limit.Report().Named:
 		return "limited"
 	case st.DigestAt.IsZero():
 		return "unknown"
--- a/node/suspects.go
+++ b/node/suspects.go
@@ -31,7 +31,7 @@
 		if r.Mark.Ends == 0 && !r.Mark.Beside {
 			continue
 		}
-		verdict, rest := n.Board.Suspects.Judge(r.Request, now)
+		verdict, rest := n.Board.Suspects.Evaluate(r.Request, now)
 		out = append(out, SuspectRow{Request: r.Request.String(), Stage: r.Stage.String(), Team: n.teamName(r.Team), Verdict: verdict.String(),
 			Rest: rest.Seconds(), Ends: r.Mark.Ends, Endpoint: r.Endpoint, SeenBy: r.Host, Age: float64(r.AgeMillis) / 1000})
 	}
--- a/owner/book.go
+++ b/owner/book.go
@@ -90,7 +90,7 @@
 	restarted := spec.Born > s.spec.Born && s.spec.Born != 0 && uint64(spec.Born) > s.state.Incarnation // otherwise a report already showed this start or a later one
 	s.view, s.spec = v, spec
 	if s.ledger != nil {
-		s.ledger.Fit(v, spec, share)
+		s.ledger.Configure(v, spec, share)
 	}
 	if restarted {
 		s.restart(time.Now())
@@ -112,7 +112,7 @@
 	s.roleChangeUntil, s.wrongState = time.Time{}, false
 	s.possiblyColdUntil = now.Add(config.Millis(s.spec.ColdStartMillis))
 	if s.ledger != nil {
-		s.ledger.Listed(now, nil)
+		s.ledger.ApplyList(now, nil)
 	}
 	s.nextState, s.nextList, s.nextFeed = now, now, now
 }
@@ -222,10 +222,10 @@
 	if refusal := s.checkRemoteMemory(now, a); refusal != nil {
 		return time.Time{}, refusal
 	}
-	req := ledger.Ask{Attempt: a.Attempt, Team: a.Team, Tokens: a.Tokens, MaxAnswer: a.MaxAnswer, Expected: a.Expected, Mark: a.Mark,
-		Bytes: a.Bytes, In: duration(a.InMillis), Slack: duration(a.Slack)}
+	req := ledger.Request{Attempt: a.Attempt, Team: a.Team, Tokens: a.Tokens, MaxAnswer: a.MaxAnswer, Expected: a.Expected, IDHash: a.Mark,
+		Bytes: a.Bytes, PrefillIn: duration(a.InMillis), Slack: duration(a.Slack)}
 	if a.Spare > 0 {
-		return now, s.ledger.ReserveCopy(now, req, a.Spare)
+		return now, s.ledger.ReserveReplica(now, req, a.Spare)
 	}
 	return s.ledger.Reserve(now, req, s.teamWeight)
 }
@@ -241,18 +241,18 @@
 	}
 	tokens, promised := s.uncached(a.Tokens, a.Head, a.HasHead)
 	work, lag := s.queue.Pace.Work(tokens), s.queue.Pace.Lag()
-	it := &queue.Item{Attempt: a.Attempt, Team: a.Team, Priority: a.Priority, Tokens: tokens, Work: work, Lag: lag, Promised: promised, Came: now,
-		Latest: now.Add(duration(a.Slack) - work - lag), NotYet: now.Add(duration(a.NotYet)), Answer: make(chan *result.Error, 1)}
+	it := &queue.Item{Attempt: a.Attempt, Team: a.Team, Priority: a.Priority, Tokens: tokens, Work: work, Lag: lag, CachedTokens: promised, Arrived: now,
+		LatestStart: now.Add(duration(a.Slack) - work - lag), NotBefore: now.Add(duration(a.NotYet)), Result: make(chan *result.Error, 1)}
 	blend(&s.leavingShare, 0, learnLeaving)
-	if hold := s.prefillNotBefore(now, it); hold.After(it.NotYet) {
-		it.NotYet = hold
+	if hold := s.prefillNotBefore(now, it); hold.After(it.NotBefore) {
+		it.NotBefore = hold
 	}
 	pushed, refusal := s.queue.Admit(now, it)
 	if refusal != nil {
 		return nil, refusal
 	}
 	for _, p := range pushed {
-		p.Answer <- result.Errorf(result.TooLate, "displaced by requests of higher priority or of teams with less use").After(work + queue.Lookahead)
+		p.Result <- result.Errorf(result.TooLate, "displaced by requests of higher priority or of teams with less use").After(work + queue.Lookahead)
 	}
 	return it, nil
 }
@@ -262,7 +262,7 @@
 // prefill more than goodput. The delay shrinks with the share of callers that leave.
 func (s *Scheduler) prefillNotBefore(now time.Time, it *queue.Item) time.Time {
 	share := s.view.Patience() * min(1, s.leavingShare/fullDelayShare)
-	return now.Add(time.Duration(share*float64(it.Latest.Sub(now))) + it.Work)
+	return now.Add(time.Duration(share*float64(it.LatestStart.Sub(now))) + it.Work)
 }
 
 // fullDelayShare is the share of callers leaving early at which the full delay applies.
--- a/owner/empty.go
+++ b/owner/empty.go
@@ -60,7 +60,7 @@
 		return 0
 	}
 	for _, it := range s.queue.Clear() {
-		it.Answer <- evacuatedError(spec)
+		it.Result <- evacuatedError(spec)
 		n++
 	}
 	return n
--- a/owner/handover.go
+++ b/owner/handover.go
@@ -81,8 +81,8 @@
 	defer s.mu.Unlock()
 	h := Handover{Endpoint: s.number, Known: s.ready}
 	for _, r := range s.ledger.Rows() {
-		h.Rows = append(h.Rows, HandoverRow{Attempt: r.Ask.Attempt, Team: r.Ask.Team, Tokens: r.Ask.Tokens + r.Ask.MaxAnswer, MaxAnswer: r.Ask.MaxAnswer,
-			Expected: r.Ask.Expected, Mark: r.Ask.Mark, Start: millis(r.Start.Sub(now)), Moved: millis(r.Moved.Sub(now)), Lease: millis(r.Lease.Sub(now)), Seen: r.Seen})
+		h.Rows = append(h.Rows, HandoverRow{Attempt: r.Request.Attempt, Team: r.Request.Team, Tokens: r.Request.Tokens + r.Request.MaxAnswer, MaxAnswer: r.Request.MaxAnswer,
+			Expected: r.Request.Expected, Mark: r.Request.IDHash, Start: millis(r.Start.Sub(now)), Moved: millis(r.TransferEnd.Sub(now)), Lease: millis(r.Lease.Sub(now)), Seen: r.Seen})
 	}
 	return h
 }
@@ -105,8 +105,8 @@
 		return
 	}
 	for _, r := range h.Rows {
-		req := ledger.Ask{Attempt: r.Attempt, Team: r.Team, Tokens: r.Tokens - r.MaxAnswer, MaxAnswer: r.MaxAnswer, Expected: r.Expected, Mark: r.Mark}
-		s.ledger.Accept(ledger.Row{Ask: req, Start: now.Add(duration(r.Start)), Moved: now.Add(duration(r.Moved)), Lease: now.Add(duration(r.Lease)), Seen: r.Seen})
+		req := ledger.Request{Attempt: r.Attempt, Team: r.Team, Tokens: r.Tokens - r.MaxAnswer, MaxAnswer: r.MaxAnswer, Expected: r.Expected, IDHash: r.Mark}
+		s.ledger.Accept(ledger.Row{Request: req, Start: now.Add(duration(r.Start)), TransferEnd: now.Add(duration(r.Moved)), Lease: now.Add(duration(r.Lease)), Seen: r.Seen})
 	}
 }
 
--- a/owner/handover_test.go
+++ b/owner/handover_test.go
@@ -30,8 +30,8 @@
 	return p.other.Tell(endpoint), nil
 }
 
-func (p pairPeers) Heard(*config.Endpoint, pace.Word)     {}
-func (p pairPeers) LimitTold(*config.Endpoint, pace.Told) {}
+func (p pairPeers) Heard(*config.Endpoint, pace.Report)         {}
+func (p pairPeers) LimitTold(*config.Endpoint, pace.WireReport) {}
 
 func (p pairPeers) Vote(_ context.Context, _ blackboard.Host, a VoteArgs) (VoteReply, error) {
 	return p.other.Starts.Vote(a), nil
--- a/owner/learn.go
+++ b/owner/learn.go
@@ -61,14 +61,14 @@
 		blend(&s.failureShare, 1, learnRejection)
 	}
 	if s.ledger != nil {
-		s.ledger.Release(now, ledger.End{Attempt: r.Attempt, Whole: r.Outcome == Done, Answer: r.Answer, Max: r.Max, Expected: r.Expected,
+		s.ledger.Release(now, ledger.End{Attempt: r.Attempt, Complete: r.Outcome == Done, Answer: r.Answer, Max: r.Max, Expected: r.Expected,
 			Waited: r.Waited, Took: duration(r.Millis)})
 		return nil
 	}
 	if s.queue == nil {
 		return nil
 	}
-	if promised, ok := s.queue.Promised(r.Attempt); ok && r.Outcome == Done {
+	if promised, ok := s.queue.CachedTokens(r.Attempt); ok && r.Outcome == Done {
 		s.learnFeedTrust(promised, r.Cached)
 	}
 	s.queue.Done(now, r.Attempt, r.Outcome == Done, duration(r.Millis))
--- a/owner/lone.go
+++ b/owner/lone.go
@@ -12,7 +12,7 @@
 
 // isolatedPace paces this host's calls to an endpoint whose owner is unreachable.
 type isolatedPace struct {
-	pace.Lone
+	pace.IsolatedLimiter
 	lastUsed time.Time
 }
 
@@ -33,11 +33,11 @@
 	defer s.mu.Unlock()
 	p := s.isolated[number]
 	if p == nil {
-		p = &isolatedPace{Lone: pace.Lone{Phase: rand.Float64()}}
+		p = &isolatedPace{IsolatedLimiter: pace.IsolatedLimiter{Phase: rand.Float64()}}
 		s.isolated[number] = p
 	}
 	p.lastUsed = now
-	if in, given = p.Ask(now, perSecond, fairShare); given {
+	if in, given = p.Acquire(now, perSecond, fairShare); given {
 		s.Alone.Add(1)
 	}
 	return in, given
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -39,9 +39,9 @@
 	// Vote asks a host for its votes for the endpoints that need start permits.
 	Vote(ctx context.Context, host blackboard.Host, a VoteArgs) (VoteReply, error)
 	// Heard records the limit that an endpoint named in a response to this host.
-	Heard(spec *config.Endpoint, w pace.Word)
+	Heard(spec *config.Endpoint, w pace.Report)
 	// LimitTold records an endpoint's limit as reported by another host.
-	LimitTold(spec *config.Endpoint, t pace.Told)
+	LimitTold(spec *config.Endpoint, t pace.WireReport)
 }
 
 // Owner holds the schedulers of owned endpoints.
@@ -213,7 +213,7 @@
 		sched.mu.Lock()
 		if sched.queue != nil {
 			for _, it := range sched.queue.Clear() {
-				it.Answer <- result.Errorf(result.NoEndpoint, "the owner's process was paused").After(time.Second)
+				it.Result <- result.Errorf(result.NoEndpoint, "the owner's process was paused").After(time.Second)
 			}
 		}
 		sched.mu.Unlock()
--- a/owner/pace_test.go
+++ b/owner/pace_test.go
@@ -85,7 +85,7 @@
 				sched.runQueue(now)
 				for a, it := range waiting {
 					select {
-					case refusal := <-it.Answer:
+					case refusal := <-it.Result:
 						delete(waiting, a)
 						if refusal != nil {
 							continue
@@ -93,7 +93,7 @@
 						done := e.prefill(now, tokens)
 						if ms >= span/2 {
 							prefilled += tokens
-							if done.After(it.Came.Add(slack * time.Millisecond)) {
+							if done.After(it.Arrived.Add(slack * time.Millisecond)) {
 								lateCount++
 							}
 						}
--- a/owner/poll.go
+++ b/owner/poll.go
@@ -100,7 +100,7 @@
 			*t = now.Add(every)
 		}
 	}
-	if sched.ledger != nil && sched.ledger.Unpaced() {
+	if sched.ledger != nil && sched.ledger.PaceUnknown() {
 		every = min(every, maxUnpacedInterval)
 	}
 	next(&sched.nextState, state, every)
@@ -231,7 +231,7 @@
 	if !st.Notice.Limit.Named || o.peers == nil {
 		return
 	}
-	o.peers.Heard(spec, pace.Word{Named: true, PerSecond: st.Notice.Limit.PerSecond, At: clock.Now(), Born: spec.Born})
+	o.peers.Heard(spec, pace.Report{Named: true, PerSecond: st.Notice.Limit.PerSecond, At: clock.Now(), Born: spec.Born})
 }
 
 func (o *Owner) pollList(ctx context.Context, sched *Scheduler) {
@@ -257,15 +257,15 @@
 	for _, r := range list {
 		a, err := request.ParseAttempt(r.ID)
 		if err != nil {
-			a = ledger.Foreign(r.ID) // not an attempt of this fleet, but it holds memory
+			a = ledger.ForeignAttempt(r.ID) // not an attempt of this fleet, but it holds memory
 		}
 		held[a] = r
 	}
 	if sched.ledger != nil {
-		sched.ledger.Listed(now, held)
+		sched.ledger.ApplyList(now, held)
 	}
 	if sched.queue != nil {
-		sched.queue.Forget(now)
+		sched.queue.DropIdle(now)
 	}
 }
 
--- a/owner/serve.go
+++ b/owner/serve.go
@@ -86,12 +86,12 @@
 			tick = time.After(max(time.Until(due), time.Millisecond))
 		}
 		select {
-		case refusal := <-it.Answer:
+		case refusal := <-it.Result:
 			return refusal
 		case <-tick:
 		case <-ctx.Done():
 			sched.mu.Lock()
-			sched.queue.Take(it)
+			sched.queue.Remove(it)
 			sched.mu.Unlock()
 			return result.Errorf(result.CallerGone, "the caller left while the request was queued")
 		}
@@ -104,10 +104,10 @@
 	defer s.mu.Unlock()
 	send, late := s.queue.Next(now)
 	for _, it := range send {
-		it.Answer <- nil
+		it.Result <- nil
 	}
 	for _, it := range late {
-		it.Answer <- result.Errorf(result.TooLate, "the engine fell behind").After(s.queue.Backlog(now) + queue.Lookahead)
+		it.Result <- result.Errorf(result.TooLate, "the engine fell behind").After(s.queue.Backlog(now) + queue.Lookahead)
 	}
 	return s.queue.Due(now)
 }
@@ -124,7 +124,7 @@
 		}
 		sched.mu.Lock()
 		if it := sched.release(now, r); it != nil {
-			it.Answer <- result.Errorf(result.CallerGone, "abandoned while it was queued")
+			it.Result <- result.Errorf(result.CallerGone, "abandoned while it was queued")
 		}
 		sched.mu.Unlock()
 		if sched.queue != nil {
--- a/owner/starts.go
+++ b/owner/starts.go
@@ -27,16 +27,16 @@
 	Endpoint uint32
 	Wait     int  // ms that the call may wait for it
 	Warm     bool // the requester considers the endpoint warm, so only its limit applies
-	Asker    pace.Asker
-	Limit    pace.Told // the endpoint's limit as known to the requester
+	Asker    pace.Requester
+	Limit    pace.WireReport // the endpoint's limit as known to the requester
 }
 
 // StartReply grants a permit for a call in InMillis, or says when to ask again.
 type StartReply struct {
 	Given      bool
-	InMillis   int       // until the call may start; without a permit, until the next request for one
-	BackMillis int       // without a permit: until the caller may retry
-	Limit      pace.Told // the endpoint's limit as known to the owner
+	InMillis   int             // until the call may start; without a permit, until the next request for one
+	BackMillis int             // without a permit: until the caller may retry
+	Limit      pace.WireReport // the endpoint's limit as known to the owner
 }
 
 // VoteArgs requests a host's votes.
@@ -69,9 +69,9 @@
 // endpointPermits tracks the permits that a host has handed out at one endpoint. Times are by package
 // clock.
 type endpointPermits struct {
-	pace.Pace
+	pace.Bucket
 	pace.Order
-	quorum             pace.Right
+	quorum             pace.GrantedVotes
 	lastAsked          time.Time // last request for a permit
 	lastUsed           time.Time
 	given              uint64
@@ -119,8 +119,8 @@
 }
 
 // coldTerms returns the terms for a share of what all hosts together may send a cold endpoint.
-func (s *Starts) coldTerms(spec *config.Endpoint, share float64) pace.Terms {
-	return pace.ColdTerms(share * pace.ColdBound(spec.ColdPerSecond, s.board.Settings.ColdOverrun, s.board.Settings.ColdTolerance))
+func (s *Starts) coldTerms(spec *config.Endpoint, share float64) pace.BucketParams {
+	return pace.ColdParams(share * pace.ColdBound(spec.ColdPerSecond, s.board.Settings.ColdOverrun, s.board.Settings.ColdTolerance))
 }
 
 // bounds says which bounds apply to the permits at an endpoint.
@@ -141,14 +141,14 @@
 }
 
 // terms returns the terms for a share of what all hosts together may send an endpoint.
-func (s *Starts) terms(spec *config.Endpoint, b bounds, share float64) pace.Terms {
+func (s *Starts) terms(spec *config.Endpoint, b bounds, share float64) pace.BucketParams {
 	switch {
 	case b.cold && b.limited:
-		return s.coldTerms(spec, share).Tighter(pace.LimitTerms(b.perSecond, share))
+		return s.coldTerms(spec, share).Tighter(pace.LimitParams(b.perSecond, share))
 	case b.cold:
 		return s.coldTerms(spec, share)
 	}
-	return pace.LimitTerms(b.perSecond, share)
+	return pace.LimitParams(b.perSecond, share)
 }
 
 // Ask handles a StartArgs from this or another host.
@@ -167,7 +167,7 @@
 	if b.cold || b.limited {
 		reply = s.grant(v, spec, a, b, now)
 	}
-	s.board.Endpoints.Find(a.Endpoint, func(_ *config.View, st *route.State) { reply.Limit = st.Limit.Word().Tell(now) })
+	s.board.Endpoints.Find(a.Endpoint, func(_ *config.View, st *route.State) { reply.Limit = st.Limit.Report().Wire(now) })
 	return reply, nil
 }
 
@@ -177,20 +177,20 @@
 	defer s.mu.Unlock()
 	p := s.permitsAt(a.Endpoint, now)
 	p.lastAsked = now
-	share := p.quorum.Part(now)
+	share := p.quorum.Share(now)
 	t := s.terms(spec, b, share)
 	if share == 0 && s.requestFirstVotes(v, p, spec, now) {
 		return StartReply{InMillis: millis(firstRoundDelay), BackMillis: millis(firstRoundDelay)}
 	}
-	in, given := p.Ask(now, t, p.Ahead(now, a.Asker, duration(a.Wait)))
+	in, given := p.Acquire(now, t, p.WaitLimit(now, a.Asker, duration(a.Wait)))
 	if !given {
 		s.Refused.Add(1)
 		p.refused++
-		return StartReply{InMillis: millis(min(in, maxRetryDelay)), BackMillis: millis(p.Promise(now, t))}
+		return StartReply{InMillis: millis(min(in, maxRetryDelay)), BackMillis: millis(p.RetryAfter(now, t))}
 	}
 	s.Given.Add(1)
 	p.given++
-	p.Had(now, a.Asker)
+	p.NoteGrant(now, a.Asker)
 	return StartReply{Given: true, InMillis: millis(in)}
 }
 
@@ -233,7 +233,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if p := s.permitsAt(route.Number(spec.Name), now); now.Sub(p.lastAsked) > requestWindow { // otherwise a permit was acquired for it
-		p.Note(now, s.coldTerms(spec, 1))
+		p.ChargeUnpermitted(now, s.coldTerms(spec, 1))
 	}
 }
 
@@ -252,7 +252,7 @@
 				voters[spec.Domain] = len(hosts)
 			}
 			holder := pace.Holder{Host: a.Host, Incarnation: a.Incarnation}
-			given, of = s.votes.Give(now, n, spec.ColdPerSecond > 0, holder), voters[spec.Domain]
+			given, of = s.votes.Grant(now, n, spec.ColdPerSecond > 0, holder), voters[spec.Domain]
 		}
 		reply.Given, reply.Of = append(reply.Given, given), append(reply.Of, of)
 	}
--- a/owner/votes.go
+++ b/owner/votes.go
@@ -52,7 +52,7 @@
 // relevantStates returns the states of the endpoints that may need permits from this host.
 func (s *Starts) relevantStates(now time.Time) (out []route.State) {
 	s.mu.Lock()
-	s.votes.Forget(now)
+	s.votes.DropExpired(now)
 	wanted := make(map[uint32]bool, len(s.permits))
 	for n, p := range s.permits {
 		wanted[n] = p.cold || now.Sub(p.lastAsked) < requestWindow
@@ -68,7 +68,7 @@
 	s.mu.Unlock()
 	s.board.Endpoints.Read(func(fleet *route.Fleet) {
 		for st := range fleet.Owned() {
-			if !wanted[st.Number] && (st.IsCold(time.Now()) || st.Limit.Fresh(now) > 0) {
+			if !wanted[st.Number] && (st.IsCold(time.Now()) || st.Limit.PenaltyLeft(now) > 0) {
 				out = append(out, *st)
 			}
 		}
@@ -93,11 +93,11 @@
 		n := route.Number(spec.Name)
 		a.Endpoints = append(a.Endpoints, n)
 		p := s.permitsAt(n, now)
-		p.quorum.Ask(len(hosts))
+		p.quorum.BeginRound(len(hosts))
 		if p.roundsWithoutVotes == 0 {
 			p.firstRoundUntil = now.Add(voteInterval)
 		}
-		if p.roundsWithoutVotes++; p.quorum.Part(now) > 0 {
+		if p.roundsWithoutVotes++; p.quorum.Share(now) > 0 {
 			p.roundsWithoutVotes = 0
 		}
 	}
@@ -127,7 +127,7 @@
 	defer s.mu.Unlock()
 	for i, n := range a.Endpoints {
 		if p := s.permits[n]; p != nil && reply.Given[i] {
-			p.quorum.Take(host, asked, reply.Of[i])
+			p.quorum.AddVote(host, asked, reply.Of[i])
 		}
 	}
 }
--- a/pace/cold.go
+++ b/pace/cold.go
@@ -22,13 +22,13 @@
 	return max(1, perSecond*overrun+tolerance)
 }
 
-// ColdTerms returns the bucket parameters for a share of such a bound. Permits are used up to Lag
+// ColdParams returns the bucket parameters for a share of such a bound. Permits are used up to Lag
 // late, so the permits of ColdWindow plus Lag may all be used within one ColdWindow. A share of
 // less than one permit grants none: many hosts with one permit each would exceed any bound.
-func ColdTerms(share float64) Terms {
+func ColdParams(share float64) BucketParams {
 	if share < 1 {
-		return Terms{}
+		return BucketParams{}
 	}
 	burst := max(1, coldBurstPart*share)
-	return Terms{burst, (share - burst) / (ColdWindow + Lag).Seconds()}
+	return BucketParams{burst, (share - burst) / (ColdWindow + Lag).Seconds()}
 }
--- a/pace/limit.go
+++ b/pace/limit.go
@@ -15,13 +15,13 @@
 	minRate      = 2.0
 )
 
-// LimitTerms returns the bucket parameters for a host's vote share of the limit that an endpoint
+// LimitParams returns the bucket parameters for a host's vote share of the limit that an endpoint
 // names, in requests a second. The bucket grants the limit on average; an endpoint gets more than
 // that only when permits are used late.
-func LimitTerms(perSecond, voteShare float64) Terms {
+func LimitParams(perSecond, voteShare float64) BucketParams {
 	rate := max(perSecond, minLimit) * voteShare
 	if voteShare < minVoteShare && rate < minRate {
-		return Terms{}
+		return BucketParams{}
 	}
-	return Terms{max(1, limitBurstSeconds*rate), rate}
+	return BucketParams{max(1, limitBurstSeconds*rate), rate}
 }
--- a/pace/limit_test.go
+++ b/pace/limit_test.go
@@ -26,10 +26,10 @@
 // grant.
 func TestLimitTerms(t *testing.T) {
 	for _, limit := range []float64{0.5, 1, 5.7, 30, 200} {
-		var p Pace
+		var p Bucket
 		var used []time.Duration
 		for at := time.Duration(0); at < time.Minute; at += time.Millisecond {
-			if _, ok := p.Ask(epoch.Add(at), LimitTerms(limit, 1), 0); !ok {
+			if _, ok := p.Acquire(epoch.Add(at), LimitParams(limit, 1), 0); !ok {
 				continue
 			}
 			late := time.Duration(0)
@@ -47,10 +47,10 @@
 			t.Errorf("%v a second: %d in a minute, want at least %.0f", limit, len(used), least)
 		}
 	}
-	var p Pace
+	var p Bucket
 	granted := 0
 	for at := time.Duration(0); at < time.Minute; at += 10 * time.Millisecond {
-		if _, ok := p.Ask(epoch.Add(at), LimitTerms(0, 1), 0); ok {
+		if _, ok := p.Acquire(epoch.Add(at), LimitParams(0, 1), 0); ok {
 			granted++
 		}
 	}
@@ -61,7 +61,7 @@
 		limit, part float64
 		none        bool
 	}{{5.7, 1, false}, {5.7, 0.25, false}, {5.7, 0.2, true}, {200, 0.01, false}, {200, 0.009, true}, {0, 1, false}, {0, 0, true}} {
-		if got := LimitTerms(tc.limit, tc.part) == (Terms{}); got != tc.none {
+		if got := LimitParams(tc.limit, tc.part) == (BucketParams{}); got != tc.none {
 			t.Errorf("vote share %v of limit %v: grants nothing: %v", tc.part, tc.limit, got)
 		}
 	}
@@ -70,20 +70,20 @@
 // TestLimitChanges has an endpoint change its limit at arbitrary times. Permits granted under the
 // previous limit must not delay later ones for long, and must not be granted a second time.
 func TestLimitChanges(t *testing.T) {
-	var p Pace
+	var p Bucket
 	for at := time.Duration(0); at < time.Second; at += time.Millisecond {
-		p.Ask(epoch.Add(at), LimitTerms(200, 1), MostWait)
+		p.Acquire(epoch.Add(at), LimitParams(200, 1), MaxWait)
 	}
-	if wait, _ := p.Ask(epoch.Add(time.Second), LimitTerms(0.5, 1), 0); wait > 3*time.Second {
+	if wait, _ := p.Acquire(epoch.Add(time.Second), LimitParams(0.5, 1), 0); wait > 3*time.Second {
 		t.Errorf("the next permit is due in %v, want at most the time of one second's permits", wait)
 	}
-	p, granted := Pace{}, 0
+	p, granted := Bucket{}, 0
 	for at := time.Duration(0); at < 10*time.Second; at += 10 * time.Millisecond {
 		limit := 5.7
 		if at/(100*time.Millisecond)%2 == 0 {
 			limit = 5.6
 		}
-		if _, ok := p.Ask(epoch.Add(at), LimitTerms(limit, 1), 0); ok {
+		if _, ok := p.Acquire(epoch.Add(at), LimitParams(limit, 1), 0); ok {
 			granted++
 		}
 	}
@@ -94,7 +94,7 @@
 
 // TestTighter checks the parameters for an endpoint that is cold and names a limit.
 func TestTighter(t *testing.T) {
-	if got, want := (Terms{2, 30}).Tighter(Terms{1, 40}), (Terms{1, 30}); got != want {
+	if got, want := (BucketParams{2, 30}).Tighter(BucketParams{1, 40}), (BucketParams{1, 30}); got != want {
 		t.Errorf("%v, want %v", got, want)
 	}
 }
@@ -102,22 +102,22 @@
 // TestPromise checks that callers refused together get successive retry times, none before there is
 // a permit and none beyond maxRetryAfter.
 func TestPromise(t *testing.T) {
-	terms := LimitTerms(5, 1)
-	var p Pace
-	p.Ask(epoch, terms, 0)
+	terms := LimitParams(5, 1)
+	var p Bucket
+	p.Acquire(epoch, terms, 0)
 	last := time.Duration(0)
 	for i := range 100 {
-		in, granted := p.Ask(epoch, terms, 0)
+		in, granted := p.Acquire(epoch, terms, 0)
 		if granted {
 			t.Fatal("permit granted")
 		}
-		retryAfter := p.Promise(epoch, terms)
+		retryAfter := p.RetryAfter(epoch, terms)
 		if retryAfter < in || retryAfter > maxRetryAfter || i > 0 && retryAfter < maxRetryAfter && retryAfter-last < 199*time.Millisecond {
 			t.Fatalf("caller %d got retry time %v after %v, with a permit in %v", i, retryAfter, last, in)
 		}
 		last = retryAfter
 	}
-	if retryAfter := p.Promise(epoch, Terms{}); retryAfter != maxRetryAfter {
+	if retryAfter := p.RetryAfter(epoch, BucketParams{}); retryAfter != maxRetryAfter {
 		t.Errorf("retry time %v where nothing is granted", retryAfter)
 	}
 }
--- a/pace/limit_ways_test.go
+++ b/pace/limit_ways_test.go
@@ -24,18 +24,18 @@
 				return alone(f, i, at)
 			}
 			if voted {
-				voteShare = f.hosts[o].granted.Part(epoch.Add(at))
+				voteShare = f.hosts[o].granted.Share(epoch.Add(at))
 			}
-			return f.hosts[o].bucket.Ask(epoch.Add(at), LimitTerms(limit, voteShare), MostWait)
+			return f.hosts[o].bucket.Acquire(epoch.Add(at), LimitParams(limit, voteShare), MaxWait)
 		}
 	}
 	isolated := func(f *fleet, i int, at time.Duration) (time.Duration, bool) {
-		in, given := f.hosts[i].isolated.Ask(epoch.Add(at), limit, evenShare(f))
+		in, given := f.hosts[i].isolated.Acquire(epoch.Add(at), limit, evenShare(f))
 		return 0 * in, given
 	}
 	nothing := func(*fleet, int, time.Duration) (time.Duration, bool) { return 0, false }
 	all := func(f *fleet, i int, at time.Duration) (time.Duration, bool) {
-		return f.hosts[i].bucket.Ask(epoch.Add(at), LimitTerms(limit, 1), MostWait)
+		return f.hosts[i].bucket.Acquire(epoch.Add(at), LimitParams(limit, 1), MaxWait)
 	}
 	none := func(*fleet, int, time.Duration) {}
 	return []strategy{
@@ -44,7 +44,7 @@
 		{"owner with votes, isolated hosts nothing", voteRounds(false), byOwner(true, nothing)},
 		{"owner without votes, isolated hosts half of an even share", none, byOwner(false, isolated)},
 		{"each host its even share", none, func(f *fleet, i int, at time.Duration) (time.Duration, bool) {
-			return f.hosts[i].bucket.Ask(epoch.Add(at), Terms{1, limit * evenShare(f)}, MostWait)
+			return f.hosts[i].bucket.Acquire(epoch.Add(at), BucketParams{1, limit * evenShare(f)}, MaxWait)
 		}},
 		{"each host the limit", none, all},
 	}
@@ -56,7 +56,7 @@
 	f = &fleet{load: l}
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range hosts {
-		f.hosts = append(f.hosts, &modelHost{votes: NewVotes(epoch.Add(-time.Hour)), incarnation: 1, isolated: Lone{Phase: rng.Float64()},
+		f.hosts = append(f.hosts, &modelHost{votes: NewVotes(epoch.Add(-time.Hour)), incarnation: 1, isolated: IsolatedLimiter{Phase: rng.Float64()},
 			unreachableSince: make([]time.Duration, (hosts+modelDomains-1)/modelDomains)})
 	}
 	for at := time.Duration(0); at < modelTime; at += modelStep {
--- a/pace/lone.go
+++ b/pace/lone.go
@@ -15,19 +15,19 @@
 	slotValidFor = time.Second
 )
 
-// Lone limits what a host sends to one endpoint while it can't reach the endpoint's owner. Send
+// IsolatedLimiter limits what a host sends to one endpoint while it can't reach the endpoint's owner. Send
 // slots come at times that differ from host to host and aren't saved up: otherwise, after a long
 // partition, each of hundreds of hosts would have one ready at the same instant.
-type Lone struct {
+type IsolatedLimiter struct {
 	Phase float64 // in [0, 1), random for each host
 
 	started  time.Time
 	lastSlot float64 // number of the last slot that was used
 }
 
-// Ask returns how long to wait before sending: 0 if a slot was granted, else the time after
+// Acquire returns how long to wait before sending: 0 if a slot was granted, else the time after
 // which to try again. even is this host's even share of the fleet, 1/hosts.
-func (l *Lone) Ask(now time.Time, perSecond, even float64) (in time.Duration, granted bool) {
+func (l *IsolatedLimiter) Acquire(now time.Time, perSecond, even float64) (in time.Duration, granted bool) {
 	rate := max(perSecond, minLimit) * even * isolatedPart
 	if rate <= 0 {
 		return Never, false
--- a/pace/lone_test.go
+++ b/pace/lone_test.go
@@ -11,7 +11,7 @@
 	for _, hosts := range []int{1, 8, 300} {
 		const limit = 5.7
 		var used []time.Duration
-		hostsAlone := make([]Lone, hosts)
+		hostsAlone := make([]IsolatedLimiter, hosts)
 		for i := range hostsAlone {
 			hostsAlone[i].Phase = float64(i) / float64(hosts)
 		}
@@ -20,7 +20,7 @@
 				if at > 2*time.Minute && at < 5*time.Minute {
 					continue // no requests
 				}
-				if _, ok := hostsAlone[i].Ask(epoch.Add(at), limit, 1/float64(hosts)); ok {
+				if _, ok := hostsAlone[i].Acquire(epoch.Add(at), limit, 1/float64(hosts)); ok {
 					used = append(used, at)
 				}
 			}
@@ -33,8 +33,8 @@
 			t.Errorf("%d hosts: %d in 7 minutes, want at least %.0f", hosts, len(used), least)
 		}
 	}
-	var l Lone
-	if in, granted := l.Ask(epoch, 5, 0); granted || in != Never {
+	var l IsolatedLimiter
+	if in, granted := l.Acquire(epoch, 5, 0); granted || in != Never {
 		t.Errorf("%v, %v with a share of zero", in, granted)
 	}
 }
--- a/pace/order.go
+++ b/pace/order.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	// MostWait is how far ahead permits are granted.
-	MostWait = 400 * time.Millisecond
+	// MaxWait is how far ahead permits are granted.
+	MaxWait = 400 * time.Millisecond
 	// waitPerPriority is by how much less far ahead each lower priority may take permits.
 	waitPerPriority = 100 * time.Millisecond
-	// LeastWait is how far ahead anyone may take a permit: starting late is better than being
+	// MinWait is how far ahead anyone may take a permit: starting late is better than being
 	// refused.
-	LeastWait = 100 * time.Millisecond
+	MinWait = 100 * time.Millisecond
 )
 
-// Asker identifies who requests a permit.
-type Asker struct {
+// Requester identifies who requests a permit.
+type Requester struct {
 	Team     uint32
 	Priority int // 0 is the most urgent
 }
@@ -47,18 +47,18 @@
 	minUsage = 0.05
 )
 
-// Ahead returns how far ahead a permit may be granted to a requester that would wait for so
+// WaitLimit returns how far ahead a permit may be granted to a requester that would wait for so
 // long.
-func (o *Order) Ahead(now time.Time, a Asker, wait time.Duration) time.Duration {
+func (o *Order) WaitLimit(now time.Time, a Requester, wait time.Duration) time.Duration {
 	o.decay(now)
 	if o.granted%openEvery == openEvery-1 {
-		return min(wait, MostWait)
+		return min(wait, MaxWait)
 	}
-	ahead := MostWait - time.Duration(max(0, a.Priority))*waitPerPriority
+	ahead := MaxWait - time.Duration(max(0, a.Priority))*waitPerPriority
 	if o.aboveShare(a.Team) {
 		ahead -= waitPerPriority
 	}
-	return min(wait, max(LeastWait, ahead))
+	return min(wait, max(MinWait, ahead))
 }
 
 // aboveShare reports whether a team has used more than its share of the permits.
@@ -70,8 +70,8 @@
 	return len(o.usage) > 1 && o.usage[team] > unfairRatio*minUsed+unfairSlack
 }
 
-// Had records that a requester was granted a permit.
-func (o *Order) Had(now time.Time, a Asker) {
+// NoteGrant records that a requester was granted a permit.
+func (o *Order) NoteGrant(now time.Time, a Requester) {
 	o.decay(now)
 	o.granted++
 	if _, known := o.usage[a.Team]; !known && len(o.usage) >= maxTeams {
--- a/pace/order_test.go
+++ b/pace/order_test.go
@@ -10,7 +10,7 @@
 // and that neither starves.
 func TestOrder(t *testing.T) {
 	type load struct {
-		Asker
+		Requester
 		perSecond float64
 	}
 	for _, tc := range []struct {
@@ -19,15 +19,15 @@
 		a, b        load
 		least, most float64 // bounds of a's permits divided by b's
 	}{
-		{"alike", 20, load{Asker{1, 1}, 40}, load{Asker{2, 1}, 40}, 0.8, 1.25},
-		{"one is more urgent", 20, load{Asker{1, 0}, 10}, load{Asker{1, 2}, 40}, 0.9, 1.6},
-		{"a team asks for much more", 20, load{Asker{1, 1}, 12.5}, load{Asker{2, 1}, 200}, 0.5, 2},
-		{"very little", 0.5, load{Asker{1, 0}, 10}, load{Asker{2, 3}, 9.1}, 0.3, 10},
+		{"alike", 20, load{Requester{1, 1}, 40}, load{Requester{2, 1}, 40}, 0.8, 1.25},
+		{"one is more urgent", 20, load{Requester{1, 0}, 10}, load{Requester{1, 2}, 40}, 0.9, 1.6},
+		{"a team asks for much more", 20, load{Requester{1, 1}, 12.5}, load{Requester{2, 1}, 200}, 0.5, 2},
+		{"very little", 0.5, load{Requester{1, 0}, 10}, load{Requester{2, 3}, 9.1}, 0.3, 10},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			var p Pace
+			var p Bucket
 			var o Order
-			got := map[Asker]int{}
+			got := map[Requester]int{}
 			rng := rand.New(rand.NewPCG(1, 2))
 			const step = 2 * time.Millisecond
 			for at := time.Duration(0); at < 5*time.Minute; at += step {
@@ -36,13 +36,13 @@
 						continue
 					}
 					now := epoch.Add(at)
-					if _, ok := p.Ask(now, LimitTerms(tc.limit, 1), o.Ahead(now, who.Asker, MostWait)); ok {
-						o.Had(now, who.Asker)
-						got[who.Asker]++
+					if _, ok := p.Acquire(now, LimitParams(tc.limit, 1), o.WaitLimit(now, who.Requester, MaxWait)); ok {
+						o.NoteGrant(now, who.Requester)
+						got[who.Requester]++
 					}
 				}
 			}
-			ratio := float64(got[tc.a.Asker]) / float64(got[tc.b.Asker])
+			ratio := float64(got[tc.a.Requester]) / float64(got[tc.b.Requester])
 			t.Logf("%v of %v a second in 5 minutes", got, tc.limit)
 			if ratio < tc.least || ratio > tc.most {
 				t.Errorf("ratio %.2f, want %v to %v", ratio, tc.least, tc.most)
@@ -51,7 +51,7 @@
 	}
 	var o Order
 	for n := range uint32(2 * maxTeams) {
-		o.Had(epoch, Asker{Team: n})
+		o.NoteGrant(epoch, Requester{Team: n})
 	}
 	if len(o.usage) > maxTeams {
 		t.Errorf("%d teams remembered", len(o.usage))
--- a/pace/pace.go
+++ b/pace/pace.go
@@ -7,31 +7,31 @@
 // requests a new permit.
 const Lag = 250 * time.Millisecond
 
-// Terms are the parameters of a Bucket. The zero value grants nothing.
-type Terms struct {
+// BucketParams are the parameters of a Bucket. The zero value grants nothing.
+type BucketParams struct {
 	Burst float64 // permits at the same instant
 	Rate  float64 // permits a second after that
 }
 
 // Tighter returns parameters that satisfy both t and o.
-func (t Terms) Tighter(o Terms) Terms {
-	return Terms{min(t.Burst, o.Burst), min(t.Rate, o.Rate)}
+func (t BucketParams) Tighter(o BucketParams) BucketParams {
+	return BucketParams{min(t.Burst, o.Burst), min(t.Rate, o.Rate)}
 }
 
-// Pace is a token bucket that grants the start permits of one endpoint, also ahead of time. The
+// Bucket is a token bucket that grants the start permits of one endpoint, also ahead of time. The
 // zero value has granted none. For any sequence of calls, no more permits are used in any interval
 // than the burst and what the rate yields in that interval plus Lag, provided that each permit is
 // used within Lag.
-type Pace struct {
-	level         float64   // permits available now; below 0: granted ahead
-	at            time.Time // time of level
-	terms         Terms     // of the last call
-	promisedUntil time.Time // until when future permits were announced to refused callers
+type Bucket struct {
+	level         float64      // permits available now; below 0: granted ahead
+	at            time.Time    // time of level
+	terms         BucketParams // of the last call
+	promisedUntil time.Time    // until when future permits were announced to refused callers
 }
 
-// Ask returns how long from now a permit may be used, if that is within wait. Otherwise granted
+// Acquire returns how long from now a permit may be used, if that is within wait. Otherwise granted
 // is false and in is the time until there will be a permit, or Never.
-func (p *Pace) Ask(now time.Time, t Terms, wait time.Duration) (in time.Duration, granted bool) {
+func (p *Bucket) Acquire(now time.Time, t BucketParams, wait time.Duration) (in time.Duration, granted bool) {
 	p.advance(now, t)
 	if in = p.timeToNext(t); in > wait || in == Never {
 		return in, false
@@ -41,7 +41,7 @@
 }
 
 // timeToNext returns the time until there is a permit.
-func (p *Pace) timeToNext(t Terms) time.Duration {
+func (p *Bucket) timeToNext(t BucketParams) time.Duration {
 	switch {
 	case t.Burst > 0 && p.level >= 1:
 		return 0
@@ -58,9 +58,9 @@
 // time, so a later time is of no use.
 const maxRetryAfter = 8 * time.Second
 
-// Promise returns when a caller that was just refused should come back: when there is a permit
+// RetryAfter returns when a caller that was just refused should come back: when there is a permit
 // that wasn't announced to another caller. Callers that are refused together get successive times.
-func (p *Pace) Promise(now time.Time, t Terms) time.Duration {
+func (p *Bucket) RetryAfter(now time.Time, t BucketParams) time.Duration {
 	in := p.timeToNext(t)
 	if in >= maxRetryAfter {
 		return maxRetryAfter
@@ -76,10 +76,10 @@
 	return at.Sub(now)
 }
 
-// Note counts a request that was sent while the endpoint needed no permits. An
+// ChargeUnpermitted counts a request that was sent while the endpoint needed no permits. An
 // endpoint that turns cold then isn't sent a burst on top of what it has just been sent. The charge
 // is forgotten after a second.
-func (p *Pace) Note(now time.Time, t Terms) {
+func (p *Bucket) ChargeUnpermitted(now time.Time, t BucketParams) {
 	p.advance(now, t)
 	p.level = max(p.level-1, min(p.level, -t.Rate))
 }
@@ -87,7 +87,7 @@
 // advance brings the level up to date; the bucket starts full. When the parameters change, permits
 // granted under the old ones count for at most a second of the new rate: permits granted ahead at a
 // high rate would otherwise block a low rate for minutes.
-func (p *Pace) advance(now time.Time, t Terms) {
+func (p *Bucket) advance(now time.Time, t BucketParams) {
 	if p.at.IsZero() {
 		p.level, p.at = t.Burst, now
 	}
--- a/pace/pace_test.go
+++ b/pace/pace_test.go
@@ -34,10 +34,10 @@
 // can take, and that a refused caller is told the true time of the next permit.
 func TestBears(t *testing.T) {
 	share := ColdBound(21, 1.5, 5)
-	var p Pace
+	var p Bucket
 	granted := 0
 	for at := time.Duration(0); at < 10*time.Second; at += time.Second / 21 {
-		if _, ok := p.Ask(epoch.Add(at), ColdTerms(share), 0); ok {
+		if _, ok := p.Acquire(epoch.Add(at), ColdParams(share), 0); ok {
 			granted++
 		}
 	}
@@ -46,13 +46,13 @@
 	}
 	now := epoch.Add(time.Minute)
 	for range 10 {
-		p.Ask(now, ColdTerms(share), 0)
+		p.Acquire(now, ColdParams(share), 0)
 	}
-	in, _ := p.Ask(now, ColdTerms(share), 0)
-	if _, ok := p.Ask(now.Add(in-time.Millisecond), ColdTerms(share), 0); ok {
+	in, _ := p.Acquire(now, ColdParams(share), 0)
+	if _, ok := p.Acquire(now.Add(in-time.Millisecond), ColdParams(share), 0); ok {
 		t.Error("a permit was granted before the announced time")
 	}
-	if _, ok := p.Ask(now.Add(in), ColdTerms(share), 0); !ok {
+	if _, ok := p.Acquire(now.Add(in), ColdParams(share), 0); !ok {
 		t.Errorf("no permit after %s, as announced", in)
 	}
 }
@@ -61,10 +61,10 @@
 // coincide.
 func TestLate(t *testing.T) {
 	for _, share := range []float64{1, 2, 7.3, 29.2, 500} {
-		var p Pace
+		var p Bucket
 		var used []time.Duration
 		for at := time.Duration(0); at < 6*time.Second; at += time.Millisecond {
-			if _, ok := p.Ask(epoch.Add(at), ColdTerms(share), 0); !ok {
+			if _, ok := p.Acquire(epoch.Add(at), ColdParams(share), 0); !ok {
 				continue
 			}
 			if at < 3*time.Second {
@@ -83,20 +83,20 @@
 // TestSmallShares checks that a share of less than one permit grants none, and that a refused
 // request uses up nothing.
 func TestSmallShares(t *testing.T) {
-	var p Pace
+	var p Bucket
 	for _, share := range []float64{0, 0.99} {
-		if in, ok := p.Ask(epoch, ColdTerms(share), time.Hour); ok || in != Never {
+		if in, ok := p.Acquire(epoch, ColdParams(share), time.Hour); ok || in != Never {
 			t.Errorf("a share of %v: %s, %v", share, in, ok)
 		}
 	}
-	var q Pace
+	var q Bucket
 	for range 1000 {
-		q.Ask(epoch, ColdTerms(1), 0)
+		q.Acquire(epoch, ColdParams(1), 0)
 	}
-	if in, ok := q.Ask(epoch, ColdTerms(1), time.Minute); ok || in != Never {
+	if in, ok := q.Acquire(epoch, ColdParams(1), time.Minute); ok || in != Never {
 		t.Errorf("one permit in all: %s, %v", in, ok)
 	}
-	if in, ok := q.Ask(epoch, ColdTerms(1+1e-12), time.Minute); ok || in != Never {
+	if in, ok := q.Acquire(epoch, ColdParams(1+1e-12), time.Minute); ok || in != Never {
 		t.Errorf("hardly more than one permit in all: %s, %v", in, ok)
 	}
 }
@@ -104,15 +104,15 @@
 // TestNote checks that what was sent while an endpoint was warm counts when it turns cold.
 func TestNote(t *testing.T) {
 	share := 29.2
-	var p Pace
+	var p Bucket
 	for i := range 100 {
-		p.Note(epoch.Add(time.Duration(i)*10*time.Millisecond), ColdTerms(share))
+		p.ChargeUnpermitted(epoch.Add(time.Duration(i)*10*time.Millisecond), ColdParams(share))
 	}
 	now := epoch.Add(time.Second)
-	if in, ok := p.Ask(now, ColdTerms(share), 0); ok || in > 1200*time.Millisecond {
+	if in, ok := p.Acquire(now, ColdParams(share), 0); ok || in > 1200*time.Millisecond {
 		t.Errorf("after 100 in a second: %s, %v", in, ok)
 	}
-	if _, ok := p.Ask(now.Add(1200*time.Millisecond), ColdTerms(share), 0); !ok {
+	if _, ok := p.Acquire(now.Add(1200*time.Millisecond), ColdParams(share), 0); !ok {
 		t.Error("the charge is not forgotten")
 	}
 }
--- a/pace/vote.go
+++ b/pace/vote.go
@@ -13,7 +13,7 @@
 	Lease = 800 * time.Millisecond
 	// Binding is how long a host gives its vote to nobody else: until the permits granted by that
 	// vote have been used.
-	Binding = Lease + MostWait + Lag
+	Binding = Lease + MaxWait + Lag
 	// BindingCold is the binding time for an endpoint that may be cold. It is longer by the window
 	// over which the bound of cold endpoints is counted, as that bound has no room for two bursts
 	// within one window.
@@ -49,9 +49,9 @@
 // NewVotes returns the votes of a process that starts now.
 func NewVotes(now time.Time) *Votes { return &Votes{started: now, given: map[uint32]vote{}} }
 
-// Give gives the vote for an endpoint to a holder, and reports whether it did. A process that has
+// Grant gives the vote for an endpoint to a holder, and reports whether it did. A process that has
 // just started grants none, as its predecessor may have given the vote to another holder.
-func (v *Votes) Give(now time.Time, endpoint uint32, canBeCold bool, h Holder) bool {
+func (v *Votes) Grant(now time.Time, endpoint uint32, canBeCold bool, h Holder) bool {
 	binding := bindingFor(canBeCold)
 	if now.Sub(v.started) < binding {
 		return false
@@ -63,8 +63,8 @@
 	return true
 }
 
-// Forget drops votes that no longer bind.
-func (v *Votes) Forget(now time.Time) {
+// DropExpired drops votes that no longer bind.
+func (v *Votes) DropExpired(now time.Time) {
 	for n, g := range v.given {
 		if !now.Before(g.until) {
 			delete(v.given, n)
@@ -72,8 +72,8 @@
 	}
 }
 
-// Right holds the votes that a holder was given for an endpoint. The zero value has none.
-type Right struct {
+// GrantedVotes holds the votes that a holder was given for an endpoint. The zero value has none.
+type GrantedVotes struct {
 	votes  map[uint32]grantedVote // by host
 	voters int                    // hosts that may vote, as far as the holder knows
 }
@@ -84,22 +84,22 @@
 	voters int // hosts that may vote, as far as the voter knows
 }
 
-// Ask begins a round of votes among this many hosts. What the hosts with valid votes know of
+// BeginRound begins a round of votes among this many hosts. What the hosts with valid votes know of
 // the number of voters holds until they answer. Otherwise a holder that knows few hosts would take
 // their votes for all votes, in each round until the answers arrive.
-func (r *Right) Ask(voters int) { r.voters = voters }
+func (r *GrantedVotes) BeginRound(voters int) { r.voters = voters }
 
-// Take records the vote of a host that was requested at a given time. voters is how many hosts may
+// AddVote records the vote of a host that was requested at a given time. voters is how many hosts may
 // vote as far as that host knows.
-func (r *Right) Take(host uint32, asked time.Time, voters int) {
+func (r *GrantedVotes) AddVote(host uint32, asked time.Time, voters int) {
 	if r.votes == nil {
 		r.votes = map[uint32]grantedVote{}
 	}
 	r.votes[host] = grantedVote{asked.Add(Lease), voters}
 }
 
-// Part returns the share of the voters whose votes are valid.
-func (r *Right) Part(now time.Time) float64 {
+// Share returns the share of the voters whose votes are valid.
+func (r *GrantedVotes) Share(now time.Time) float64 {
 	n, voters := 0, r.voters
 	for host, v := range r.votes {
 		if now.Before(v.until) {
--- a/pace/vote_test.go
+++ b/pace/vote_test.go
@@ -31,8 +31,8 @@
 		{"another one once it is free", 2*BindingCold + time.Second, 7, two, true},
 		{"the first, too late", 2*BindingCold + time.Second, 7, one, false},
 	} {
-		v.Forget(at(tc.at))
-		if got := v.Give(at(tc.at), tc.endpoint, true, tc.to); got != tc.want {
+		v.DropExpired(at(tc.at))
+		if got := v.Grant(at(tc.at), tc.endpoint, true, tc.to); got != tc.want {
 			t.Errorf("%s: %v", tc.name, got)
 		}
 	}
@@ -40,32 +40,32 @@
 
 // TestRight checks a holder's share by its valid votes.
 func TestRight(t *testing.T) {
-	var r Right
-	r.Ask(4)
-	if p := r.Part(epoch); p != 0 {
+	var r GrantedVotes
+	r.BeginRound(4)
+	if p := r.Share(epoch); p != 0 {
 		t.Errorf("%v without a vote", p)
 	}
-	r.Take(1, epoch, 4)
-	r.Take(2, epoch.Add(100*time.Millisecond), 4)
-	if p := r.Part(epoch.Add(Lease - 1)); p != 0.5 {
+	r.AddVote(1, epoch, 4)
+	r.AddVote(2, epoch.Add(100*time.Millisecond), 4)
+	if p := r.Share(epoch.Add(Lease - 1)); p != 0.5 {
 		t.Errorf("%v with two votes of four", p)
 	}
-	if p := r.Part(epoch.Add(Lease)); p != 0.25 {
+	if p := r.Share(epoch.Add(Lease)); p != 0.25 {
 		t.Errorf("%v once a vote has expired", p)
 	}
-	r.Take(2, epoch.Add(100*time.Millisecond), 8)
-	if p := r.Part(epoch.Add(Lease)); p != 0.125 {
+	r.AddVote(2, epoch.Add(100*time.Millisecond), 8)
+	if p := r.Share(epoch.Add(Lease)); p != 0.125 {
 		t.Errorf("%v where another knows of eight", p)
 	}
-	r.Ask(1)
-	if p := r.Part(epoch.Add(Lease)); p != 0.125 {
+	r.BeginRound(1)
+	if p := r.Share(epoch.Add(Lease)); p != 0.125 {
 		t.Errorf("%v in the next round, until the voter that knows of eight answers", p)
 	}
-	if p := r.Part(epoch.Add(Lease + 100*time.Millisecond)); p != 0 {
+	if p := r.Share(epoch.Add(Lease + 100*time.Millisecond)); p != 0 {
 		t.Errorf("%v once all votes have expired", p)
 	}
-	r.Take(1, epoch.Add(Lease), 1)
-	if p := r.Part(epoch.Add(Lease + 100*time.Millisecond)); p != 1 {
+	r.AddVote(1, epoch.Add(Lease), 1)
+	if p := r.Share(epoch.Add(Lease + 100*time.Millisecond)); p != 1 {
 		t.Errorf("%v once the report of eight voters has expired", p)
 	}
 }
@@ -73,8 +73,8 @@
 // holder is a host that grants permits in TestAnySecond.
 type holder struct {
 	Holder
-	bucket Pace
-	votes  Right
+	bucket Bucket
+	votes  GrantedVotes
 }
 
 // TestAnySecond has several hosts request the votes of voters at random times, with any of them
@@ -98,11 +98,11 @@
 			h := rapid.SampledFrom(holders).Draw(t, "who")
 			switch n := rapid.IntRange(0, 99).Draw(t, "what"); {
 			case n < 20: // a round of votes; some answers are lost, some late
-				h.votes.Ask(len(voters))
+				h.votes.BeginRound(len(voters))
 				for i, v := range voters {
 					asked := now.Add(-time.Duration(rapid.Int64Range(0, int64(150*time.Millisecond)).Draw(t, "under way")))
-					if rapid.Bool().Draw(t, "reached") && v.Give(now, 7, true, h.Holder) {
-						h.votes.Take(uint32(i), asked, len(voters))
+					if rapid.Bool().Draw(t, "reached") && v.Grant(now, 7, true, h.Holder) {
+						h.votes.AddVote(uint32(i), asked, len(voters))
 					}
 				}
 			case n == 20: // a voter restarts
@@ -111,7 +111,7 @@
 				*h = holder{Holder: Holder{h.Host, h.Incarnation + 1}}
 			default:
 				for range rapid.IntRange(0, 8).Draw(t, "asks") {
-					in, granted := h.bucket.Ask(now, ColdTerms(bound*h.votes.Part(now)), MostWait)
+					in, granted := h.bucket.Acquire(now, ColdParams(bound*h.votes.Share(now)), MaxWait)
 					if granted {
 						used = append(used, at+in+time.Duration(rapid.Int64Range(0, int64(Lag)).Draw(t, "late")))
 					}
--- a/pace/ways_test.go
+++ b/pace/ways_test.go
@@ -103,9 +103,9 @@
 // modelHost is a host of the model.
 type modelHost struct {
 	votes            *Votes
-	granted          Right
-	bucket           Pace
-	isolated         Lone
+	granted          GrantedVotes
+	bucket           Bucket
+	isolated         IsolatedLimiter
 	incarnation      uint64
 	unreachableSince []time.Duration // since when each host of the endpoint's domain is unreachable; 0: it is reachable
 	lent             int
@@ -130,7 +130,7 @@
 func (f *fleet) tick(at time.Duration) {
 	for i, h := range f.hosts {
 		if f.load.restarts(i, at) {
-			h.votes, h.granted, h.bucket, h.lent = NewVotes(epoch.Add(at)), Right{}, Pace{}, 0
+			h.votes, h.granted, h.bucket, h.lent = NewVotes(epoch.Add(at)), GrantedVotes{}, Bucket{}, 0
 			h.incarnation++
 		}
 		for k := range h.unreachableSince {
@@ -156,7 +156,7 @@
 
 // requestPermit requests a permit from a host.
 func (f *fleet) requestPermit(i int, at time.Duration, share float64) (time.Duration, bool) {
-	return f.hosts[i].bucket.Ask(epoch.Add(at), ColdTerms(share), MostWait)
+	return f.hosts[i].bucket.Acquire(epoch.Add(at), ColdParams(share), MaxWait)
 }
 
 // strategy decides whether and when a request at a host may be sent.
@@ -173,13 +173,13 @@
 			return
 		}
 		h, now := f.hosts[o], epoch.Add(at)
-		h.granted.Ask(len(h.unreachableSince))
+		h.granted.BeginRound(len(h.unreachableSince))
 		for k := range h.unreachableSince {
 			if j := k * modelDomains; j != o {
 				f.messages += 2
 			}
-			if f.reaches(o, k*modelDomains, at) && f.hosts[k*modelDomains].votes.Give(now, 7, canBeCold, Holder{uint32(o), h.incarnation}) {
-				h.granted.Take(uint32(k), now, len(h.unreachableSince))
+			if f.reaches(o, k*modelDomains, at) && f.hosts[k*modelDomains].votes.Grant(now, 7, canBeCold, Holder{uint32(o), h.incarnation}) {
+				h.granted.AddVote(uint32(k), now, len(h.unreachableSince))
 			}
 		}
 	}
@@ -199,7 +199,7 @@
 		}
 	}
 	byVotes := func(f *fleet, o int, at time.Duration) float64 {
-		return modelBound * f.hosts[o].granted.Part(epoch.Add(at))
+		return modelBound * f.hosts[o].granted.Share(epoch.Add(at))
 	}
 	requestVotes := voteRounds(true)
 	none := func(*fleet, int, time.Duration) {}
@@ -216,7 +216,7 @@
 				f.messages += 2
 				if f.reaches(i, o, at) && f.owner(o, at) == o {
 					for range want {
-						if _, ok := f.hosts[o].bucket.Ask(epoch.Add(at), ColdTerms(byVotes(f, o, at)), 0); ok {
+						if _, ok := f.hosts[o].bucket.Acquire(epoch.Add(at), ColdParams(byVotes(f, o, at)), 0); ok {
 							h.lent++
 						}
 					}
--- a/pace/word.go
+++ b/pace/word.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Word is what an answer of an endpoint says about how many requests a second the endpoint takes
+// Report is what an answer of an endpoint says about how many requests a second the endpoint takes
 // from all hosts together. The zero value means that nothing was observed.
-type Word struct {
+type Report struct {
 	Named     bool    // the answer named a limit
 	PerSecond float64 // requests
 	// At orders the reports of an endpoint, by package clock. The time of a named limit is when the
@@ -18,8 +18,8 @@
 	Born int64 // start of the endpoint's process; 0: unknown
 }
 
-// Told is a Report as hosts send it to each other. Their clocks differ, so it carries an age.
-type Told struct {
+// WireReport is a Report as hosts send it to each other. Their clocks differ, so it carries an age.
+type WireReport struct {
 	Heard     bool
 	Named     bool
 	PerSecond float64
@@ -27,17 +27,17 @@
 	Born      int64
 }
 
-// Tell returns the report in the form sent to another host.
-func (w Word) Tell(now time.Time) Told {
-	return Told{!w.At.IsZero(), w.Named, w.PerSecond, now.Sub(w.At).Milliseconds(), w.Born}
+// Wire returns the report in the form sent to another host.
+func (w Report) Wire(now time.Time) WireReport {
+	return WireReport{!w.At.IsZero(), w.Named, w.PerSecond, now.Sub(w.At).Milliseconds(), w.Born}
 }
 
-// Word returns the report with its time on this host's clock.
-func (t Told) Word(now time.Time) Word {
+// Report returns the report with its time on this host's clock.
+func (t WireReport) Report(now time.Time) Report {
 	if !t.Heard {
-		return Word{}
+		return Report{}
 	}
-	return Word{t.Named, t.PerSecond, now.Add(-time.Duration(t.AgeMillis) * time.Millisecond), t.Born}
+	return Report{t.Named, t.PerSecond, now.Add(-time.Duration(t.AgeMillis) * time.Millisecond), t.Born}
 }
 
 // Change says how a report changes the known limit.
@@ -56,12 +56,12 @@
 	return [...]string{"none", "endpoint names a limit", "endpoint names another limit", "endpoint names no limit any more"}[c]
 }
 
-// Belief holds the newest report of an endpoint's limit. The zero value has observed none.
-type Belief struct {
+// LimitState holds the newest report of an endpoint's limit. The zero value has observed none.
+type LimitState struct {
 	// Since is when this host first learned of the limit that is still named, by package clock.
 	Since time.Time
 
-	report    Word
+	report    Report
 	endedAt   time.Time // when this host learned that the limit has ended
 	lastLimit float64   // the limit until then
 }
@@ -79,14 +79,14 @@
 	minRampRate = 4.0
 )
 
-// Hear applies a report and returns what it changes. A report of an earlier process of the
+// Observe applies a report and returns what it changes. A report of an earlier process of the
 // endpoint says nothing about a later one; of the reports of one process the newest holds,
 // whichever host observed it.
-func (b *Belief) Hear(now time.Time, w Word) Change {
+func (b *LimitState) Observe(now time.Time, w Report) Change {
 	if w.Born != 0 && w.Born < b.report.Born {
 		return ChangeNone // where no start time is reported, it may be the same process
 	}
-	b.Restarted(w.Born)
+	b.DropIfRestarted(w.Born)
 	if !w.At.After(b.report.At) {
 		return ChangeNone
 	}
@@ -105,20 +105,20 @@
 	return ChangeNone
 }
 
-// Restarted drops all that is known if the endpoint's current process started later than the
+// DropIfRestarted drops all that is known if the endpoint's current process started later than the
 // process of the newest report.
-func (b *Belief) Restarted(born int64) {
+func (b *LimitState) DropIfRestarted(born int64) {
 	if born > b.report.Born && b.report.Born != 0 {
-		*b = Belief{}
+		*b = LimitState{}
 	}
 }
 
-// Word returns the newest report.
-func (b *Belief) Word() Word { return b.report }
+// Report returns the newest report.
+func (b *LimitState) Report() Report { return b.report }
 
 // Limit returns how many requests a second all hosts together may send the endpoint now, if that is
 // bounded.
-func (b *Belief) Limit(now time.Time) (perSecond float64, bounded bool) {
+func (b *LimitState) Limit(now time.Time) (perSecond float64, bounded bool) {
 	if b.report.Named {
 		return b.report.PerSecond, true
 	}
@@ -129,8 +129,8 @@
 	return max(b.lastLimit, minRampRate) * math.Exp2(since.Seconds()/rampDouble.Seconds()), true
 }
 
-// Changed reports whether a limit has just begun or just ended.
-func (b *Belief) Changed(now time.Time) bool {
+// RecentlyChanged reports whether a limit has just begun or just ended.
+func (b *LimitState) RecentlyChanged(now time.Time) bool {
 	at := b.Since
 	if !b.report.Named {
 		at = b.endedAt
@@ -138,8 +138,8 @@
 	return !at.IsZero() && now.Sub(at) < rampDuration
 }
 
-// Fresh returns for how much longer the endpoint is the more expensive choice.
-func (b *Belief) Fresh(now time.Time) time.Duration {
+// PenaltyLeft returns for how much longer the endpoint is the more expensive choice.
+func (b *LimitState) PenaltyLeft(now time.Time) time.Duration {
 	if !b.report.Named {
 		return 0
 	}
--- a/pace/word_test.go
+++ b/pace/word_test.go
@@ -12,9 +12,9 @@
 // order. Both must end with the newest report of the newest process.
 func TestWords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var reports []Word
+		var reports []Report
 		for range rapid.IntRange(1, 8).Draw(t, "words") {
-			reports = append(reports, Word{Named: rapid.Bool().Draw(t, "named"), PerSecond: float64(rapid.IntRange(0, 3).Draw(t, "limit")),
+			reports = append(reports, Report{Named: rapid.Bool().Draw(t, "named"), PerSecond: float64(rapid.IntRange(0, 3).Draw(t, "limit")),
 				At: epoch.Add(time.Duration(rapid.IntRange(1, 5000).Draw(t, "at")) * time.Millisecond), Born: int64(rapid.IntRange(1, 2).Draw(t, "born"))})
 		}
 		newest := reports[0]
@@ -23,20 +23,20 @@
 				newest = w
 			}
 		}
-		var hosts [2]Belief
+		var hosts [2]LimitState
 		now := epoch.Add(time.Minute)
 		for i := range hosts {
 			for _, w := range rapid.Permutation(reports).Draw(t, "order") {
-				hosts[i].Hear(now, w)
-				other := hosts[i].Word().Tell(now).Word(now)
+				hosts[i].Observe(now, w)
+				other := hosts[i].Report().Wire(now).Report(now)
 				if rapid.Bool().Draw(t, "told") {
-					hosts[1-i].Hear(now, other)
+					hosts[1-i].Observe(now, other)
 				}
 			}
 		}
 		for i := range hosts {
 			// Of two reports with the same time the first one to arrive holds.
-			if w := hosts[i].Word(); w.Born != newest.Born || !w.At.Equal(newest.At) {
+			if w := hosts[i].Report(); w.Born != newest.Born || !w.At.Equal(newest.At) {
 				t.Fatalf("host %d has %+v, want %+v", i, w, newest)
 			}
 		}
@@ -47,33 +47,33 @@
 // restarts.
 func TestBelief(t *testing.T) {
 	at := func(ms int) time.Time { return epoch.Add(time.Duration(ms) * time.Millisecond) }
-	var b Belief
+	var b LimitState
 	for _, tc := range []struct {
 		name    string
 		now     int
-		report  Word
+		report  Report
 		want    Change
 		limit   float64
 		bounded bool
 	}{
-		{"nothing named", 0, Word{At: at(-50), Born: 1}, ChangeNone, 0, false},
-		{"named", 100, Word{Named: true, PerSecond: 5, At: at(100), Born: 1}, ChangeBegan, 5, true},
-		{"an answer in flight", 120, Word{At: at(90), Born: 1}, ChangeNone, 5, true},
-		{"an older limit", 130, Word{Named: true, PerSecond: 9, At: at(95), Born: 1}, ChangeNone, 5, true},
-		{"the same", 200, Word{Named: true, PerSecond: 5, At: at(200), Born: 1}, ChangeNone, 5, true},
-		{"another one", 300, Word{Named: true, PerSecond: 2, At: at(300), Born: 1}, ChangeValue, 2, true},
-		{"none, sent before", 340, Word{At: at(290), Born: 1}, ChangeNone, 2, true},
-		{"none, sent since", 400, Word{At: at(310), Born: 1}, ChangeEnded, minRampRate, true},
-		{"a limit named earlier", 410, Word{Named: true, PerSecond: 3, At: at(305), Born: 1}, ChangeNone, math.NaN(), true},
-		{"none again", 1300, Word{At: at(1250), Born: 1}, ChangeNone, 0, false},
-		{"named again", 1400, Word{Named: true, PerSecond: 1, At: at(1400), Born: 1}, ChangeBegan, 1, true},
-		{"a process without a start time", 1500, Word{At: at(1450)}, ChangeEnded, minRampRate, true},
-		{"named by the same", 1550, Word{Named: true, PerSecond: 1, At: at(1550)}, ChangeBegan, 1, true},
-		{"a process with a start time", 1560, Word{Named: true, PerSecond: 1, At: at(1560), Born: 1}, ChangeNone, 1, true},
-		{"a later process", 1600, Word{At: at(1550), Born: 2}, ChangeNone, 0, false},
-		{"the process before", 1700, Word{Named: true, PerSecond: 1, At: at(1700), Born: 1}, ChangeNone, 0, false},
+		{"nothing named", 0, Report{At: at(-50), Born: 1}, ChangeNone, 0, false},
+		{"named", 100, Report{Named: true, PerSecond: 5, At: at(100), Born: 1}, ChangeBegan, 5, true},
+		{"an answer in flight", 120, Report{At: at(90), Born: 1}, ChangeNone, 5, true},
+		{"an older limit", 130, Report{Named: true, PerSecond: 9, At: at(95), Born: 1}, ChangeNone, 5, true},
+		{"the same", 200, Report{Named: true, PerSecond: 5, At: at(200), Born: 1}, ChangeNone, 5, true},
+		{"another one", 300, Report{Named: true, PerSecond: 2, At: at(300), Born: 1}, ChangeValue, 2, true},
+		{"none, sent before", 340, Report{At: at(290), Born: 1}, ChangeNone, 2, true},
+		{"none, sent since", 400, Report{At: at(310), Born: 1}, ChangeEnded, minRampRate, true},
+		{"a limit named earlier", 410, Report{Named: true, PerSecond: 3, At: at(305), Born: 1}, ChangeNone, math.NaN(), true},
+		{"none again", 1300, Report{At: at(1250), Born: 1}, ChangeNone, 0, false},
+		{"named again", 1400, Report{Named: true, PerSecond: 1, At: at(1400), Born: 1}, ChangeBegan, 1, true},
+		{"a process without a start time", 1500, Report{At: at(1450)}, ChangeEnded, minRampRate, true},
+		{"named by the same", 1550, Report{Named: true, PerSecond: 1, At: at(1550)}, ChangeBegan, 1, true},
+		{"a process with a start time", 1560, Report{Named: true, PerSecond: 1, At: at(1560), Born: 1}, ChangeNone, 1, true},
+		{"a later process", 1600, Report{At: at(1550), Born: 2}, ChangeNone, 0, false},
+		{"the process before", 1700, Report{Named: true, PerSecond: 1, At: at(1700), Born: 1}, ChangeNone, 0, false},
 	} {
-		if got := b.Hear(at(tc.now), tc.report); got != tc.want {
+		if got := b.Observe(at(tc.now), tc.report); got != tc.want {
 			t.Errorf("%s: %s, want %s", tc.name, got, tc.want)
 		}
 		limit, bounded := b.Limit(at(tc.now))
@@ -81,15 +81,15 @@
 			t.Errorf("%s: %v, %v, want %v, %v", tc.name, limit, bounded, tc.limit, tc.bounded)
 		}
 	}
-	b = Belief{}
-	b.Hear(at(0), Word{Named: true, PerSecond: 5, At: at(0)})
-	if f := b.Fresh(at(500)); f != penaltyFor-500*time.Millisecond {
+	b = LimitState{}
+	b.Observe(at(0), Report{Named: true, PerSecond: 5, At: at(0)})
+	if f := b.PenaltyLeft(at(500)); f != penaltyFor-500*time.Millisecond {
 		t.Errorf("penalty left: %v", f)
 	}
-	if f := b.Fresh(at(60_000)); f != 0 {
+	if f := b.PenaltyLeft(at(60_000)); f != 0 {
 		t.Errorf("penalty left a minute later: %v", f)
 	}
-	if b.Restarted(7); b.Word().Named != true {
+	if b.DropIfRestarted(7); b.Report().Named != true {
 		t.Error("report dropped when the process start became known")
 	}
 }
@@ -97,10 +97,10 @@
 // TestRamp checks that the rate after the end of a limit rises without a jump and is unbounded
 // within a second.
 func TestRamp(t *testing.T) {
-	var b Belief
-	b.Hear(epoch, Word{Named: true, PerSecond: 5.7, At: epoch})
-	b.Hear(epoch.Add(time.Second), Word{At: epoch.Add(900 * time.Millisecond)})
-	before, p, used := 5.7, Pace{}, 0
+	var b LimitState
+	b.Observe(epoch, Report{Named: true, PerSecond: 5.7, At: epoch})
+	b.Observe(epoch.Add(time.Second), Report{At: epoch.Add(900 * time.Millisecond)})
+	before, p, used := 5.7, Bucket{}, 0
 	for at := time.Second; at < time.Second+rampDuration; at += time.Millisecond {
 		now := epoch.Add(at)
 		limit, bounded := b.Limit(now)
@@ -108,7 +108,7 @@
 			t.Fatalf("%v, %v %v after the end, %v just before", limit, bounded, at-time.Second, before)
 		}
 		before = limit
-		if _, ok := p.Ask(now, LimitTerms(limit, 1), 0); ok {
+		if _, ok := p.Acquire(now, LimitParams(limit, 1), 0); ok {
 			used++
 		}
 	}
--- a/peer/limits.go
+++ b/peer/limits.go
@@ -22,12 +22,12 @@
 // LimitArgs reports an endpoint's limit.
 type LimitArgs struct {
 	Endpoint uint32
-	Limit    pace.Told
+	Limit    pace.WireReport
 	Onward   []uint32 // hosts to which the receiver forwards the report
 }
 
 // Heard records the limit that an endpoint's answer to this host named.
-func (r *Router) Heard(spec *config.Endpoint, w pace.Word) {
+func (r *Router) Heard(spec *config.Endpoint, w pace.Report) {
 	switch r.applyLimit(spec.Name, w, "its answer") {
 	case pace.ChangeBegan, pace.ChangeEnded:
 		r.announceLimit(spec)
@@ -50,7 +50,7 @@
 	due := false
 	r.board.Endpoints.Find(config.NameNumber(spec.Name), func(_ *config.View, s *route.State) {
 		now := clock.Now()
-		due = s.Limit.Changed(now) && now.Sub(s.LimitAnnouncedAt) >= limitRepeatAfter
+		due = s.Limit.RecentlyChanged(now) && now.Sub(s.LimitAnnouncedAt) >= limitRepeatAfter
 	})
 	if due {
 		r.announceLimit(spec)
@@ -58,14 +58,14 @@
 }
 
 // LimitTold implements owner.Peers.
-func (r *Router) LimitTold(spec *config.Endpoint, t pace.Told) {
+func (r *Router) LimitTold(spec *config.Endpoint, t pace.WireReport) {
 	if t.Heard {
-		r.applyLimit(spec.Name, t.Word(clock.Now()), "another host")
+		r.applyLimit(spec.Name, t.Report(clock.Now()), "another host")
 	}
 }
 
 // applyLimit records a report of an endpoint's limit and logs what changed.
-func (r *Router) applyLimit(endpoint string, w pace.Word, from string) pace.Change {
+func (r *Router) applyLimit(endpoint string, w pace.Report, from string) pace.Change {
 	c := r.board.Endpoints.Hear(config.NameNumber(endpoint), clock.Now(), w)
 	if c != pace.ChangeNone {
 		r.log.Info(c.String(), zap.String("endpoint", endpoint), zap.Float64("per_s", w.PerSecond), zap.String("from", from))
--- a/peer/marks.go
+++ b/peer/marks.go
@@ -102,7 +102,7 @@
 	if len(rows) == 0 {
 		return
 	}
-	if answer := r.board.Suspects.Learn(rows, clock.Now()); len(answer) > 0 {
+	if answer := r.board.Suspects.Apply(rows, clock.Now()); len(answer) > 0 {
 		r.TellMarks(answer)
 	}
 }
@@ -119,7 +119,7 @@
 
 // compareMarks swaps marks with another host if its checksum differs from this host's.
 func (r *Router) compareMarks(ctx context.Context, h blackboard.Host, sum uint64, now time.Time) {
-	if sum == r.board.Suspects.Sum() {
+	if sum == r.board.Suspects.Hash() {
 		return
 	}
 	r.mu.Lock()
@@ -204,10 +204,10 @@
 // applyProbeEnd records the end of a probe, if this host granted it.
 func (r *Router) applyProbeEnd(a *TrialDoneArgs) {
 	if a.Settled {
-		r.board.Suspects.Settle(a.Holder, clock.Now())
+		r.board.Suspects.SettleProbe(a.Holder, clock.Now())
 		return
 	}
-	r.board.Suspects.Done(a.Holder)
+	r.board.Suspects.EndProbe(a.Holder)
 }
 
 // Trial answers another host's request for a probe.
--- a/peer/quota.go
+++ b/peer/quota.go
@@ -73,9 +73,9 @@
 
 // reach describes what this host can reach as the holder of a team's limit. Failure domains
 // without hosts don't count, unless no host of any other domain is known.
-func (r *Router) reach(now time.Time, team uint32) quota.Reach {
+func (r *Router) reach(now time.Time, team uint32) quota.Reachability {
 	c := r.board.Hosts.Census(now)
-	out := quota.Reach{Part: c.Part, Settled: now.Sub(c.Changed) > stableFor && r.isStableHolder(team, now)}
+	out := quota.Reachability{HostShare: c.Part, Settled: now.Sub(c.Changed) > stableFor && r.isStableHolder(team, now)}
 	out.Domains = r.otherDomains(c)
 	return out
 }
@@ -111,12 +111,12 @@
 	if c.Part >= minReachableShare && !r.metNobody(c) {
 		for _, h := range r.holders(team.Number, now) {
 			if a, ok := r.drawFrom(ctx, h, team, n); ok {
-				r.board.Quotas.Passed(time.Now(), team.Number, n, a)
+				r.board.Quotas.ObserveAnswer(time.Now(), team.Number, n, a)
 				return a
 			}
 		}
 	}
-	return r.board.Quotas.Alone(time.Now(), team, n, r.evenShare(c))
+	return r.board.Quotas.AdmitIsolated(time.Now(), team, n, r.evenShare(c))
 }
 
 // evenShare returns this host's share of the fleet if all hosts count the same.
@@ -159,7 +159,7 @@
 		if r.board.Quotas.CutOff(now, t.Number) {
 			return quota.Answer{}, false
 		}
-		return r.board.Quotas.Ask(now, t, n, r.reach(now, t.Number)), true
+		return r.board.Quotas.Admit(now, t, n, r.reach(now, t.Number)), true
 	}
 	var reply DrawReply
 	err := r.noteOutcome(ctx, h, r.pool.call(ctx, h.Peers, methodDraw, &DrawArgs{Team: t.Number, Units: n}, &reply, r.timeout()/maxHolders))
@@ -174,7 +174,7 @@
 	switch {
 	case !ok:
 	case h.Number == r.board.Number:
-		r.board.Quotas.Return(now, team, n, r.reach(now, team.Number))
+		r.board.Quotas.Refund(now, team, n, r.reach(now, team.Number))
 	default:
 		go func() {
 			_ = r.pool.call(context.Background(), h.Peers, methodDraw, &DrawArgs{Team: team.Number, Units: -n}, new(DrawReply), r.timeout())
@@ -191,10 +191,10 @@
 	now := time.Now()
 	reply.Known = true
 	if a.Units < 0 {
-		s.r.board.Quotas.Return(now, t, -a.Units, s.r.reach(now, t.Number))
+		s.r.board.Quotas.Refund(now, t, -a.Units, s.r.reach(now, t.Number))
 		return nil
 	}
-	s.r.board.Quotas.Asked(now, t.Number)
-	reply.Answer = s.r.board.Quotas.Ask(now, t, a.Units, s.r.reach(now, t.Number))
+	s.r.board.Quotas.NotePeerRequest(now, t.Number)
+	reply.Answer = s.r.board.Quotas.Admit(now, t, a.Units, s.r.reach(now, t.Number))
 	return nil
 }
--- a/peer/quota_test.go
+++ b/peer/quota_test.go
@@ -37,7 +37,7 @@
 // that holds the team's limit may answer, and those that were called as if they held it.
 func TestSettle(t *testing.T) {
 	red, free := config.NameNumber("red"), config.NameNumber("free")
-	args := &SettleArgs{Domain: "e", Rows: []SettleRow{{Team: red, Word: quota.Word{Holder: 9}}, {Team: free}, {Team: 77}}}
+	args := &SettleArgs{Domain: "e", Rows: []SettleRow{{Team: red, Word: quota.Report{Holder: 9}}, {Team: free}, {Team: 77}}}
 	answered := 0
 	for i := range 12 {
 		r := quotaHost(t, fmt.Sprint("h", i))
@@ -70,7 +70,7 @@
 	r := quotaHost(t, "h0")
 	for _, team := range []uint32{config.NameNumber("free"), 77} {
 		var reply DrawReply
-		if err := (&server{r: r}).Draw(&DrawArgs{Team: team, Units: 5}, &reply); err != nil || reply.Known || r.board.Quotas.Open(team) {
+		if err := (&server{r: r}).Draw(&DrawArgs{Team: team, Units: 5}, &reply); err != nil || reply.Known || r.board.Quotas.Has(team) {
 			t.Errorf("team %d: %+v, %v", team, reply, err)
 		}
 	}
--- a/peer/settle.go
+++ b/peer/settle.go
@@ -21,7 +21,7 @@
 // SettleRow is a report about one team.
 type SettleRow struct {
 	Team uint32
-	Word quota.Word
+	Word quota.Report
 }
 
 // SettleReply carries the receiver's own reports.
@@ -38,7 +38,7 @@
 	now := time.Now()
 	for _, row := range a.Rows {
 		if t, known := s.r.teamOf(row.Team); known && s.r.holds(t, now) {
-			reply.Rows = append(reply.Rows, SettleRow{row.Team, s.r.board.Quotas.Hear(now, t, a.Domain, row.Word, s.r.reach(now, row.Team))})
+			reply.Rows = append(reply.Rows, SettleRow{row.Team, s.r.board.Quotas.Observe(now, t, a.Domain, row.Word, s.r.reach(now, row.Team))})
 		}
 	}
 	return nil
@@ -47,7 +47,7 @@
 // holds reports whether this host holds a team's limit, by its own view or because others call it
 // as the holder.
 func (r *Router) holds(t quota.Team, now time.Time) bool {
-	if r.board.Quotas.Open(t.Number) {
+	if r.board.Quotas.Has(t.Number) {
 		return true
 	}
 	h, ok := r.board.Hosts.First(teamKey(t.Number), r.board.Settings.Domain, now)
@@ -59,7 +59,7 @@
 func (r *Router) Settler() blackboard.Controller {
 	return blackboard.Every(settleInterval, func(ctx context.Context) {
 		now := time.Now()
-		due := r.board.Quotas.Due(now)
+		due := r.board.Quotas.DueReports(now)
 		if len(due) == 0 {
 			return
 		}
@@ -81,7 +81,7 @@
 
 // settlements groups reports by the host that holds the teams in a domain. Teams without a holder
 // there are recorded as unsettled.
-func (r *Router) settlements(now time.Time, domain string, due map[uint32]quota.Word) map[uint32]*settlement {
+func (r *Router) settlements(now time.Time, domain string, due map[uint32]quota.Report) map[uint32]*settlement {
 	out := map[uint32]*settlement{}
 	for team, w := range due {
 		h, ok := r.board.Hosts.First(teamKey(team), domain, now)
@@ -108,7 +108,7 @@
 	now := time.Now()
 	for _, row := range reply.Rows {
 		if t, known := r.teamOf(row.Team); known {
-			r.board.Quotas.Hear(now, t, domain, row.Word, r.reach(now, row.Team))
+			r.board.Quotas.Observe(now, t, domain, row.Word, r.reach(now, row.Team))
 		}
 	}
 	r.noteUnsettled(domain, unanswered(b.rows, reply.Rows))
@@ -125,7 +125,7 @@
 	now := time.Now()
 	for _, row := range rows {
 		if t, known := r.teamOf(row.Team); known {
-			r.board.Quotas.Miss(now, t, domain, r.reach(now, row.Team))
+			r.board.Quotas.NoteUnreachable(now, t, domain, r.reach(now, row.Team))
 		}
 	}
 }
--- a/peer/starts.go
+++ b/peer/starts.go
@@ -16,7 +16,7 @@
 type StartAsk struct {
 	Wait  time.Duration // how long the call may wait for the permit
 	Warm  bool          // this host doesn't consider the endpoint cold
-	Asker pace.Asker
+	Asker pace.Requester
 }
 
 // Start is the answer to a request for a start permit at an endpoint.
@@ -71,8 +71,8 @@
 }
 
 // limitOf returns this host's view of an endpoint's limit, as it is sent to other hosts.
-func (r *Router) limitOf(spec *config.Endpoint) (t pace.Told) {
-	r.board.Endpoints.Find(config.NameNumber(spec.Name), func(_ *config.View, s *route.State) { t = s.Limit.Word().Tell(clock.Now()) })
+func (r *Router) limitOf(spec *config.Endpoint) (t pace.WireReport) {
+	r.board.Endpoints.Find(config.NameNumber(spec.Name), func(_ *config.View, s *route.State) { t = s.Limit.Report().Wire(clock.Now()) })
 	return t
 }
 
--- a/proof/limit_test.go
+++ b/proof/limit_test.go
@@ -26,7 +26,7 @@
 
 // hasLimit reports whether host i applies a limit to the shared endpoint.
 func (s *sharedHarness) hasLimit(i int) (has bool) {
-	s.Nodes[i].Board.Endpoints.Find(route.Number(coldName), func(_ *config.View, st *route.State) { has = st.Limit.Word().Named })
+	s.Nodes[i].Board.Endpoints.Find(route.Number(coldName), func(_ *config.View, st *route.State) { has = st.Limit.Report().Named })
 	return has
 }
 
@@ -70,10 +70,10 @@
 		return
 	}
 	if limit >= 0 {
-		r.Heard(spec, pace.Word{Named: true, PerSecond: limit, At: clock.Now(), Born: spec.Born})
+		r.Heard(spec, pace.Report{Named: true, PerSecond: limit, At: clock.Now(), Born: spec.Born})
 		return
 	}
-	r.Heard(spec, pace.Word{At: sent, Born: spec.Born})
+	r.Heard(spec, pace.Report{At: sent, Born: spec.Born})
 }
 
 // finishLimited stops the calls, checks that no limitWindow got more than factor times the limit
@@ -188,7 +188,7 @@
 		time.Sleep(2 * time.Second)
 		observe := func(i int, named bool, at time.Time) {
 			n := s.Nodes[i]
-			n.Router.Heard(n.Board.Config.View().Endpoint(coldName), pace.Word{Named: named, PerSecond: limit, At: at})
+			n.Router.Heard(n.Board.Config.View().Endpoint(coldName), pace.Report{Named: named, PerSecond: limit, At: at})
 		}
 		now := clock.Now()
 		observe(0, true, now)
--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -76,7 +76,7 @@
 			f.updates = append(f.updates, n)
 			continue
 		}
-		f.broadcast(n.to, f.hosts[n.to].Learn(n.rows, f.now))
+		f.broadcast(n.to, f.hosts[n.to].Apply(n.rows, f.now))
 	}
 }
 
@@ -84,7 +84,7 @@
 func (f *fleet) send(what request.Fingerprint, host, endpoint, answer int) {
 	r := f.hosts[host]
 	f.holder++
-	switch v, _ := r.Judge(what, f.now); v {
+	switch v, _ := r.Evaluate(what, f.now); v {
 	case Resting:
 		return
 	case Blamed:
@@ -92,15 +92,15 @@
 		return
 	case Suspect:
 		ask := Ask{Request: what, Stage: Running, Endpoint: uint32(endpoint + 1), Holder: f.holder, Known: r.RowsOf(what, f.now)}
-		f.hosts[0].Learn(ask.Known, f.now)
+		f.hosts[0].Apply(ask.Known, f.now)
 		reply := f.hosts[0].Grant(ask, f.now)
-		r.Learn(reply.Known, f.now)
+		r.Apply(reply.Known, f.now)
 		if !reply.Granted {
 			return
 		}
 	}
 	if f.endpoints[endpoint] > 0 {
-		f.hosts[0].Done(f.holder)
+		f.hosts[0].EndProbe(f.holder)
 		return
 	}
 	if what == f.deadly && f.crashes >= 3 && f.now.Sub(f.thirdCrash) > contactWindow {
@@ -134,15 +134,15 @@
 		switch {
 		case down[fl.endpoint]:
 			fl.run.Old = time.Duration(fl.began)*tick > YoungFor
-			f.broadcast(fl.host, r.Ended([]Run{fl.run}, f.process(fl.endpoint), "e", f.now))
+			f.broadcast(fl.host, r.RecordCrash([]Run{fl.run}, f.process(fl.endpoint), "e", f.now))
 		case fl.left <= 0:
-			f.broadcast(fl.host, r.Whole(fl.run, f.now))
+			f.broadcast(fl.host, r.RecordSuccess(fl.run, f.now))
 		default:
 			left = append(left, fl)
 			continue
 		}
-		f.hosts[0].Learn(r.RowsOf(fl.run.Request, f.now), f.now)
-		f.hosts[0].Done(fl.holder)
+		f.hosts[0].Apply(r.RowsOf(fl.run.Request, f.now), f.now)
+		f.hosts[0].EndProbe(fl.holder)
 	}
 	f.activeRuns = left
 	for endpoint := range down {
@@ -150,7 +150,7 @@
 		f.started[endpoint]++
 	}
 	for i, r := range f.hosts {
-		f.broadcast(i, r.Due(f.now))
+		f.broadcast(i, r.DueRows(f.now))
 	}
 }
 
--- a/quarantine/mark.go
+++ b/quarantine/mark.go
@@ -16,14 +16,14 @@
 
 // Kinds of stages.
 const (
-	Reading Stage = iota // a prefill engine processed its prompt
-	Running              // its answer was decoded, or a plain service was called
+	Prefilling Stage = iota // a prefill engine processed its prompt
+	Running                 // its answer was decoded, or a plain service was called
 	stages
 )
 
 // String returns the stage as operators see it.
 func (s Stage) String() string {
-	if s == Reading {
+	if s == Prefilling {
 		return "reading"
 	}
 	return "running"
--- a/quarantine/registry.go
+++ b/quarantine/registry.go
@@ -22,10 +22,10 @@
 
 // Counts are statistics for operators.
 type Counts struct {
-	Ends    uint64 // crashes of endpoints that this host counted against a request
+	Crashes uint64 // crashes of endpoints that this host counted against a request
 	Cleared uint64 // requests that this host cleared
 	Refused uint64 // blamed requests that this host refused
-	Trials  uint64 // probes that this host granted
+	Probes  uint64 // probes that this host granted
 	Evicted uint64 // records evicted for lack of space
 }
 
@@ -34,8 +34,8 @@
 	return &Registry{host: host, records: map[recordKey]*record{}, events: newEvents(), probes: newProbes()}
 }
 
-// Quiet reports whether there are no records, so that no request needs to be evaluated.
-func (r *Registry) Quiet() bool {
+// Empty reports whether there are no records, so that no request needs to be evaluated.
+func (r *Registry) Empty() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.records) == 0
@@ -59,10 +59,10 @@
 	return run
 }
 
-// Ended records that a process of an endpoint crashed while it ran requests, and returns rows
+// RecordCrash records that a process of an endpoint crashed while it ran requests, and returns rows
 // to send to all hosts. Young runs are suspected at once; rows of the others come later from
 // DueRows.
-func (r *Registry) Ended(runs []Run, p Process, endpoint string, now time.Time) (rows []Row) {
+func (r *Registry) RecordCrash(runs []Run, p Process, endpoint string, now time.Time) (rows []Row) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, run := range runs {
@@ -76,9 +76,9 @@
 	return rows
 }
 
-// Due returns rows to send to all hosts for old runs whose crash no young run explains any
+// DueRows returns rows to send to all hosts for old runs whose crash no young run explains any
 // more. It is to be called ExplainWait after each crash.
-func (r *Registry) Due(now time.Time) []Row {
+func (r *Registry) DueRows(now time.Time) []Row {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.due(now)
@@ -116,15 +116,15 @@
 		return nil
 	}
 	c := &record{mark: mark, at: now, team: run.Team, process: p, old: run.Old, endpoint: endpoint, host: r.host}
-	r.counts.Ends++
+	r.counts.Crashes++
 	r.events.addSuspect(p, k, suspect{mark.Epoch, !run.Old}, now)
 	r.put(k, c, now)
 	return []Row{c.row(k, now)} // sent even if the mark is no higher: the request was there at that crash too
 }
 
-// Whole records that a run came to a complete answer, which clears its request, and returns
+// RecordSuccess records that a run came to a complete answer, which clears its request, and returns
 // rows to send to all hosts: none for a request that isn't suspected.
-func (r *Registry) Whole(run Run, now time.Time) []Row {
+func (r *Registry) RecordSuccess(run Run, now time.Time) []Row {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	k := recordKey{run.Request, run.Stage}
--- a/quarantine/registry_test.go
+++ b/quarantine/registry_test.go
@@ -19,7 +19,7 @@
 
 // verdict returns the verdict without the backoff time.
 func verdict(r *Registry, f request.Fingerprint, now time.Time) Verdict {
-	v, _ := r.Judge(f, now)
+	v, _ := r.Evaluate(f, now)
 	return v
 }
 
@@ -37,7 +37,7 @@
 // crash has an endpoint crash under a run that has just begun.
 func crash(r *Registry, f request.Fingerprint, s Stage, now time.Time) []Row {
 	processes++
-	return r.Ended([]Run{r.Begin(f, s, 1)}, processes, "e", now)
+	return r.RecordCrash([]Run{r.Begin(f, s, 1)}, processes, "e", now)
 }
 
 // crashLate has an endpoint crash under a run that had been in progress for some time.
@@ -45,24 +45,24 @@
 	run := r.Begin(f, Running, 1)
 	run.Old = true
 	processes++
-	rows := r.Ended([]Run{run}, processes, "e", now)
-	return append(rows, r.Due(now.Add(ExplainWait))...)
+	rows := r.RecordCrash([]Run{run}, processes, "e", now)
+	return append(rows, r.DueRows(now.Add(ExplainWait))...)
 }
 
 // TestSigns checks what each kind of evidence says about a process, also for planned ends.
 func TestSigns(t *testing.T) {
 	cases := []struct {
-		sign    Sign
+		sign    Evidence
 		planned bool
 		want    Finding
 	}{
-		{SignNone, false, FindingOpen}, {SignBusy, false, FindingOpen}, {SignLives, false, FindingLives},
-		{SignRefused, false, FindingEnded}, {SignLater, false, FindingEnded},
-		{SignNone, true, FindingOpen}, {SignBusy, true, FindingOpen}, {SignLives, true, FindingLives},
-		{SignRefused, true, FindingLives}, {SignLater, true, FindingLives},
+		{EvidenceNone, false, FindingUnknown}, {EvidenceBusy, false, FindingUnknown}, {EvidenceAlive, false, FindingAlive},
+		{EvidenceRefused, false, FindingCrashed}, {EvidenceRestarted, false, FindingCrashed},
+		{EvidenceNone, true, FindingUnknown}, {EvidenceBusy, true, FindingUnknown}, {EvidenceAlive, true, FindingAlive},
+		{EvidenceRefused, true, FindingAlive}, {EvidenceRestarted, true, FindingAlive},
 	}
 	for _, tc := range cases {
-		if got := tc.sign.Judge(tc.planned); got != tc.want {
+		if got := tc.sign.Evaluate(tc.planned); got != tc.want {
 			t.Errorf("sign %d, planned %v: finding %d, want %d", tc.sign, tc.planned, got, tc.want)
 		}
 	}
@@ -74,15 +74,15 @@
 	type step func(r *Registry, now time.Time)
 	early := func(r *Registry, now time.Time) { crash(r, f, Running, now) }
 	late := func(r *Registry, now time.Time) { crashLate(r, f, now) }
-	inPrefill := func(r *Registry, now time.Time) { crash(r, f, Reading, now) }
-	completed := func(r *Registry, now time.Time) { r.Whole(r.Begin(f, Running, 1), now) }
-	prefilled := func(r *Registry, now time.Time) { r.Whole(r.Begin(f, Reading, 1), now) }
+	inPrefill := func(r *Registry, now time.Time) { crash(r, f, Prefilling, now) }
+	completed := func(r *Registry, now time.Time) { r.RecordSuccess(r.Begin(f, Running, 1), now) }
+	prefilled := func(r *Registry, now time.Time) { r.RecordSuccess(r.Begin(f, Prefilling, 1), now) }
 	wait := func(*Registry, time.Time) {}
 	together := func(r *Registry, now time.Time) {
 		runs := []Run{r.Begin(f, Running, 1), r.Begin(f, Running, 1), r.Begin(f, Running, 1)}
 		for _, run := range runs {
 			processes++
-			r.Ended([]Run{run}, processes, "e", now)
+			r.RecordCrash([]Run{run}, processes, "e", now)
 		}
 	}
 	cleared := func(r *Registry, now time.Time) { r.Clear(f, now) }
@@ -146,7 +146,7 @@
 		if reply := r.Grant(Ask{Request: f, Stage: Running, Holder: uint64(retries), Room: 1}, now); reply.Granted {
 			retries++
 			crash(r, f, Running, now)
-			r.Done(uint64(retries - 1))
+			r.EndProbe(uint64(retries - 1))
 		}
 	}
 	if retries != maxRetries {
@@ -171,7 +171,7 @@
 				reported = append(reported, r.Clear(f, start)...)
 			case 3:
 				if len(reported) > 0 { // one row arrives early
-					r.Learn(reported[len(reported)-1:], start)
+					r.Apply(reported[len(reported)-1:], start)
 				}
 			}
 		}
@@ -181,13 +181,13 @@
 			rows := append(append([]Row{}, reported...), reported...)
 			draw.Shuffle(len(rows), func(i, k int) { rows[i], rows[k] = rows[k], rows[i] })
 			for _, row := range rows {
-				r.Learn([]Row{row}, start)
+				r.Apply([]Row{row}, start)
 			}
 		}
 		late := New("d") // a host that starts later gets the marks of another
-		late.Learn(hosts[0].Rows(start), start)
+		late.Apply(hosts[0].Rows(start), start)
 		for _, r := range append(hosts[1:], late) {
-			if r.Sum() != hosts[0].Sum() {
+			if r.Hash() != hosts[0].Hash() {
 				t.Fatalf("%s has\n%v\nand %s\n%v", hosts[0].host, hosts[0].Rows(start), r.host, r.Rows(start))
 			}
 		}
@@ -199,9 +199,9 @@
 func TestClearedStays(t *testing.T) {
 	r, f := New("h"), fingerprint("f")
 	rows := crash(r, f, Running, start)
-	r.Whole(r.Begin(f, Running, 1), start)
+	r.RecordSuccess(r.Begin(f, Running, 1), start)
 	now := start.Add(2 * trustFor)
-	if r.Learn(rows, now); verdict(r, f, now) != Free {
+	if r.Apply(rows, now); verdict(r, f, now) != Free {
 		t.Error("suspected again for a crash before it was cleared")
 	}
 }
@@ -210,13 +210,13 @@
 // that another host suspects, and reports that.
 func TestTrustedElsewhere(t *testing.T) {
 	a, b, f := New("a"), New("b"), fingerprint("f")
-	b.Whole(b.Begin(f, Running, 1), start)
+	b.RecordSuccess(b.Begin(f, Running, 1), start)
 	rows := crash(a, f, Running, start.Add(time.Second))
 	if len(rows) != 1 || verdict(a, f, start.Add(time.Second)) != Suspect {
 		t.Fatalf("not suspected: %v", rows)
 	}
-	answer := b.Learn(rows, start.Add(time.Second))
-	if a.Learn(answer, start.Add(time.Second)); verdict(a, f, start.Add(time.Second)) != Free {
+	answer := b.Apply(rows, start.Add(time.Second))
+	if a.Apply(answer, start.Add(time.Second)); verdict(a, f, start.Add(time.Second)) != Free {
 		t.Errorf("still suspected after %v", answer)
 	}
 }
@@ -234,18 +234,18 @@
 	var broadcast func(rows []Row)
 	broadcast = func(rows []Row) {
 		if len(rows) > 0 {
-			broadcast(append(a.Learn(rows, now), b.Learn(rows, now)...))
+			broadcast(append(a.Apply(rows, now), b.Apply(rows, now)...))
 		}
 	}
 	for i := range 3 {
 		p := Process(1000 + i)
-		broadcast(b.Ended([]Run{begin(b, bystander, true)}, p, "e", now))
+		broadcast(b.RecordCrash([]Run{begin(b, bystander, true)}, p, "e", now))
 		if n := crashCount(a, bystander); i == 0 && n > 0 {
 			t.Fatalf("%d crashes count at once", n)
 		}
-		broadcast(a.Ended([]Run{begin(a, culprit, false)}, p, "e", now))
+		broadcast(a.RecordCrash([]Run{begin(a, culprit, false)}, p, "e", now))
 		now = now.Add(time.Second)
-		broadcast(append(a.Due(now), b.Due(now)...))
+		broadcast(append(a.DueRows(now), b.DueRows(now)...))
 	}
 	now = now.Add(confirmAfter)
 	if verdict(a, culprit, now) != Blamed || verdict(b, culprit, now) != Blamed {
@@ -262,12 +262,12 @@
 	r, young, old := New("h"), fingerprint("young"), fingerprint("old")
 	run := r.Begin(old, Running, 1)
 	run.Old = true
-	r.Ended([]Run{run, r.Begin(young, Running, 1)}, 7, "e", start)
+	r.RecordCrash([]Run{run, r.Begin(young, Running, 1)}, 7, "e", start)
 	now := start.Add(time.Second)
-	if r.Due(now); crashCount(r, young) != 1 || crashCount(r, old) != 0 {
+	if r.DueRows(now); crashCount(r, young) != 1 || crashCount(r, old) != 0 {
 		t.Fatal("not only the young run is suspected")
 	}
-	if r.Whole(r.Begin(young, Running, 1), now); crashCount(r, young) != 0 || crashCount(r, old) != 1 {
+	if r.RecordSuccess(r.Begin(young, Running, 1), now); crashCount(r, young) != 0 || crashCount(r, old) != 1 {
 		t.Error("with the young run cleared, the old one isn't suspected")
 	}
 }
@@ -284,9 +284,9 @@
 		if i%4 == 0 {
 			runs = append(runs, r.Begin(f, Running, 1))
 		}
-		r.Ended(runs, processes, "e", now)
+		r.RecordCrash(runs, processes, "e", now)
 	}
-	if v, rest := r.Judge(f, now); v != Resting || rest > firstBackoff {
+	if v, rest := r.Evaluate(f, now); v != Resting || rest > firstBackoff {
 		t.Errorf("verdict %d, backoff %v", v, rest)
 	}
 	if v := verdict(r, f, now.Add(firstBackoff)); v != Suspect {
@@ -312,7 +312,7 @@
 func TestRoom(t *testing.T) {
 	r, now := New("h"), start
 	other := fingerprint("other")
-	r.Ended([]Run{{Request: other, Stage: Running, Team: 2}}, 1, "e", now)
+	r.RecordCrash([]Run{{Request: other, Stage: Running, Team: 2}}, 1, "e", now)
 	blamed := fingerprint("blamed")
 	for range blameAt {
 		crash(r, blamed, Running, now)
@@ -325,7 +325,7 @@
 		t.Errorf("%d marks, want %d", n, maxRecords)
 	}
 	second := fingerprint("second")
-	r.Ended([]Run{{Request: second, Stage: Running, Team: 2}}, 2, "e", now)
+	r.RecordCrash([]Run{{Request: second, Stage: Running, Team: 2}}, 2, "e", now)
 	if verdict(r, other, now) != Suspect || verdict(r, second, now) != Suspect {
 		t.Error("another team's record was evicted")
 	}
@@ -395,10 +395,10 @@
 	if !ask(1) || ask(2) {
 		t.Fatal("not one at a time")
 	}
-	if r.Done(1); !ask(2) {
+	if r.EndProbe(1); !ask(2) {
 		t.Error("the next one doesn't begin")
 	}
-	if r.Settle(2, start); !ask(3) || !ask(4) {
+	if r.SettleProbe(2, start); !ask(3) || !ask(4) {
 		t.Error("others don't run beside one that has settled")
 	}
 }
@@ -412,6 +412,6 @@
 	}
 	f := fingerprint("ordinary")
 	for b.Loop() {
-		r.Judge(f, start)
+		r.Evaluate(f, start)
 	}
 }
--- a/quarantine/rows.go
+++ b/quarantine/rows.go
@@ -10,9 +10,9 @@
 	"github.com/embercove/embercove/request"
 )
 
-// Learn applies rows from another host, and returns rows to send to all hosts in turn: those that
+// Apply applies rows from another host, and returns rows to send to all hosts in turn: those that
 // clear a request that is suspected elsewhere but was just answered completely here.
-func (r *Registry) Learn(rows []Row, now time.Time) (answer []Row) {
+func (r *Registry) Apply(rows []Row, now time.Time) (answer []Row) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, row := range rows {
@@ -64,8 +64,8 @@
 	return rows
 }
 
-// Sum returns a hash of all marks, which is equal on hosts with the same marks; 0: none.
-func (r *Registry) Sum() (sum uint64) {
+// Hash returns a hash of all marks, which is equal on hosts with the same marks; 0: none.
+func (r *Registry) Hash() (sum uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for k, c := range r.records {
--- a/quarantine/trial.go
+++ b/quarantine/trial.go
@@ -32,9 +32,9 @@
 	// maxProbeTime is how long a probe lasts that nobody ended, as its host may be gone. It keeps
 	// other suspects from the endpoint for as long as most answers take.
 	maxProbeTime = 30 * time.Second
-	// Settled is how long a request has to decode before other runs of it may start: four times as
+	// SettledAfter is how long a request has to decode before other runs of it may start: four times as
 	// long as those that crashed endpoints took after they were sent.
-	Settled = 500 * time.Millisecond
+	SettledAfter = 500 * time.Millisecond
 )
 
 // probe is a run of a suspect that is in progress.
@@ -70,7 +70,7 @@
 	}
 	reply.Granted, reply.Elsewhere = r.probes.grant(a, r.mustRunAlone(a), now)
 	if reply.Granted {
-		r.counts.Trials++
+		r.counts.Probes++
 	}
 	return reply
 }
@@ -111,8 +111,8 @@
 	return true, false
 }
 
-// Settle records that the run of a probe has settled.
-func (r *Registry) Settle(holder uint64, now time.Time) {
+// SettleProbe records that the run of a probe has settled.
+func (r *Registry) SettleProbe(holder uint64, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if cur := r.probes.byHolder[holder]; cur != nil {
@@ -120,8 +120,8 @@
 	}
 }
 
-// Done ends a probe.
-func (r *Registry) Done(holder uint64) {
+// EndProbe ends a probe.
+func (r *Registry) EndProbe(holder uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.probes.byHolder, holder)
--- a/quarantine/verdict.go
+++ b/quarantine/verdict.go
@@ -52,8 +52,8 @@
 	backoffGrowth = 3
 )
 
-// Judge returns what a request may do now, and how long it still has to back off.
-func (r *Registry) Judge(f request.Fingerprint, now time.Time) (v Verdict, rest time.Duration) {
+// Evaluate returns what a request may do now, and how long it still has to back off.
+func (r *Registry) Evaluate(f request.Fingerprint, now time.Time) (v Verdict, rest time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.evaluate(f, now)
--- a/queue/calls.go
+++ b/queue/calls.go
@@ -84,9 +84,9 @@
 // presumeDoneAfter is how long after its forecast end a request counts as prefilled.
 const presumeDoneAfter = 150 * time.Millisecond
 
-// Promised returns how many tokens of a request in flight were expected to be cached, and whether
+// CachedTokens returns how many tokens of a request in flight were expected to be cached, and whether
 // the request is known.
-func (q *Queue) Promised(a request.Attempt) (tokens int, known bool) {
+func (q *Queue) CachedTokens(a request.Attempt) (tokens int, known bool) {
 	c, known := q.inFlight[a]
 	if !known {
 		return 0, false
--- a/queue/queue.go
+++ b/queue/queue.go
@@ -16,17 +16,17 @@
 
 // Item is a request that waits for a prefill engine.
 type Item struct {
-	Attempt  request.Attempt
-	Team     uint32
-	Priority int
-	Tokens   int           // to prefill
-	Work     time.Duration // forecast of how long they occupy the engine
-	Lag      time.Duration // forecast of the additional time until the answer
-	Promised int           // tokens that are cached according to the cache feed
-	Latest   time.Time     // latest start that keeps the target
-	NotYet   time.Time     // prefill should not end before
-	Came     time.Time
-	Answer   chan *result.Error // gets nil when the request is sent, or the refusal
+	Attempt      request.Attempt
+	Team         uint32
+	Priority     int
+	Tokens       int           // to prefill
+	Work         time.Duration // forecast of how long they occupy the engine
+	Lag          time.Duration // forecast of the additional time until the answer
+	CachedTokens int           // tokens that are cached according to the cache feed
+	LatestStart  time.Time     // latest start that keeps the target
+	NotBefore    time.Time     // prefill should not end before
+	Arrived      time.Time
+	Result       chan *result.Error // gets nil when the request is sent, or the refusal
 }
 
 // Queue orders the requests of one prefill engine. Requests wait here and not in the engine, so
@@ -75,7 +75,7 @@
 		case above[a.Team] != above[b.Team]:
 			return above[b.Team]
 		}
-		return a.Latest.Before(b.Latest)
+		return a.LatestStart.Before(b.LatestStart)
 	})
 	return items
 }
@@ -97,7 +97,7 @@
 	t := q.freeAt(now)
 	ok := true
 	for _, it := range items {
-		if t.After(it.Latest) {
+		if t.After(it.LatestStart) {
 			ok = false
 		}
 		t = t.Add(it.Work)
@@ -113,7 +113,7 @@
 	for !ok {
 		k := q.victim(now, candidates, it)
 		if k < 0 {
-			late := max(end.Sub(it.Latest.Add(it.Work)), 100*time.Millisecond)
+			late := max(end.Sub(it.LatestStart.Add(it.Work)), 100*time.Millisecond)
 			return nil, result.Errorf(result.TooLate, "prefill would end %s too late", late.Round(time.Millisecond)).After(late)
 		}
 		evicted = append(evicted, candidates[k])
@@ -161,9 +161,9 @@
 func (q *Queue) Next(now time.Time) (send, late []*Item) {
 	q.presumeDone(now)
 	for _, it := range append([]*Item(nil), q.waiting...) {
-		if q.freeAt(now).After(it.Latest.Add(lateGrace)) {
+		if q.freeAt(now).After(it.LatestStart.Add(lateGrace)) {
 			late = append(late, it)
-			q.Take(it)
+			q.Remove(it)
 		}
 	}
 	if len(q.waiting) > 1 {
@@ -174,7 +174,7 @@
 		if it == nil {
 			break
 		}
-		q.Take(it)
+		q.Remove(it)
 		send = append(send, it)
 		if !q.busyUntil.After(now) {
 			q.interval = forecast.Interval{From: now}
@@ -182,7 +182,7 @@
 		q.interval.Tokens += it.Tokens
 		q.sent++
 		q.busyUntil = q.freeAt(now).Add(it.Work)
-		q.inFlight[it.Attempt] = &sentRequest{number: q.sent, tokens: it.Tokens, interval: q.interval, work: it.Work, cachedTokens: it.Promised,
+		q.inFlight[it.Attempt] = &sentRequest{number: q.sent, tokens: it.Tokens, interval: q.interval, work: it.Work, cachedTokens: it.CachedTokens,
 			sentAt: now, forecastEnd: q.busyUntil.Add(it.Lag)}
 		q.shares.addUse(now, it.Team, it.Work)
 	}
@@ -201,14 +201,14 @@
 }
 
 // earliestStart returns the first time at which the item may begin.
-func (it *Item) earliestStart() time.Time { return it.NotYet.Add(-it.Work) }
+func (it *Item) earliestStart() time.Time { return it.NotBefore.Add(-it.Work) }
 
 // lateGrace is how much later than its latest start an admitted request is still sent: its forecast
 // was slightly off, and it has already waited.
 const lateGrace = 100 * time.Millisecond
 
-// Take removes a waiting item.
-func (q *Queue) Take(it *Item) {
+// Remove removes a waiting item.
+func (q *Queue) Remove(it *Item) {
 	for i, w := range q.waiting {
 		if w == it {
 			q.waiting = append(q.waiting[:i:i], q.waiting[i+1:]...)
@@ -222,7 +222,7 @@
 func (q *Queue) Cancel(a request.Attempt) *Item {
 	for _, it := range q.waiting {
 		if it.Attempt == a {
-			q.Take(it)
+			q.Remove(it)
 			return it
 		}
 	}
@@ -269,5 +269,5 @@
 	return out
 }
 
-// Forget drops the records of teams with negligible use.
-func (q *Queue) Forget(now time.Time) { q.shares.dropIdle(now) }
+// DropIdle drops the records of teams with negligible use.
+func (q *Queue) DropIdle(now time.Time) { q.shares.dropIdle(now) }
--- a/queue/queue_test.go
+++ b/queue/queue_test.go
@@ -18,7 +18,7 @@
 // newItem returns an item of a team, with work and slack in ms.
 func newItem(n int, team uint32, priority, now, work, slack int) *Item {
 	return &Item{Attempt: request.Attempt{Number: uint32(n)}, Team: team, Priority: priority, Work: time.Duration(work) * time.Millisecond,
-		Latest: at(now + slack - work), NotYet: at(now), Answer: make(chan *result.Error, 1)}
+		LatestStart: at(now + slack - work), NotBefore: at(now), Result: make(chan *result.Error, 1)}
 }
 
 func evenWeights(uint32) float64 { return 1 }
@@ -108,7 +108,7 @@
 func TestQueueNotYet(t *testing.T) {
 	q := New(evenWeights, config.DefaultTokensPerSecond)
 	later := newItem(1, 1, 3, 0, 50, 2000)
-	later.NotYet = at(500)
+	later.NotBefore = at(500)
 	for _, it := range []*Item{later, newItem(2, 1, 3, 0, 100, 3000)} {
 		if _, err := q.Admit(at(0), it); err != nil {
 			t.Fatal(err)
--- a/quota/account.go
+++ b/quota/account.go
@@ -13,18 +13,18 @@
 	Spare float64
 }
 
-// Reach describes which failure domains and hosts a holder can reach.
-type Reach struct {
+// Reachability describes which failure domains and hosts a holder can reach.
+type Reachability struct {
 	Domains []string // the other failure domains, of all regions
 	// Part is the share of the own domain's hosts that is reachable, this host included: 1 if all
 	// are.
-	Part float64
+	HostShare float64
 	// Settled says that no other host can recently have held limits of this domain.
 	Settled bool
 }
 
-// Word is what a holder reports to others about its account.
-type Word struct {
+// Report is what a holder reports to others about its account.
+type Report struct {
 	Holder uint64  // changes with the host, its process and the account
 	Used   float64 // admitted since the account was opened
 	Pace   float64 // admitted a second, recently
@@ -68,7 +68,7 @@
 
 // other is what is known of another failure domain's holder.
 type other struct {
-	report      Word
+	report      Report
 	unreachable bool    // it has not answered since: it counts as unreachable
 	share       float64 // of all demand, when it became unreachable
 	assumed     float64 // assumed to be admitted since its last report
@@ -86,7 +86,7 @@
 	others        map[string]*other // by failure domain
 	promisedUntil time.Time         // until when future capacity was announced to refused callers
 
-	lastReport Word
+	lastReport Report
 	reportedAt time.Time
 }
 
@@ -94,7 +94,7 @@
 // for each account. Where no other host can have admitted anything, the account begins with the
 // full burst: with the small level of an unsettled one, requests within the limit would be refused
 // in the first seconds after all hosts have started.
-func OpenAccount(now time.Time, id uint64, l Limit, r Reach) *Account {
+func OpenAccount(now time.Time, id uint64, l Limit, r Reachability) *Account {
 	a := &Account{id: id, limit: l, at: now, others: map[string]*other{}}
 	a.level = initialSeconds * a.accrual(now, r)
 	if r.Settled {
@@ -104,7 +104,7 @@
 }
 
 // SetLimit applies another limit from now on.
-func (a *Account) SetLimit(now time.Time, l Limit, r Reach) {
+func (a *Account) SetLimit(now time.Time, l Limit, r Reachability) {
 	if l == a.limit {
 		return
 	}
@@ -114,7 +114,7 @@
 }
 
 // Admit reports whether a request that counts as n units is admitted.
-func (a *Account) Admit(now time.Time, n float64, r Reach) Answer {
+func (a *Account) Admit(now time.Time, n float64, r Reachability) Answer {
 	a.advance(now, r)
 	a.demand.add(now, n)
 	if a.level > 0 {
@@ -127,7 +127,7 @@
 }
 
 // Refund returns the n units of an admitted request that didn't run.
-func (a *Account) Refund(now time.Time, n float64, r Reach) {
+func (a *Account) Refund(now time.Time, n float64, r Reachability) {
 	a.advance(now, r)
 	a.level = min(a.level+n, a.maxLevel(r))
 	a.used -= n
@@ -137,7 +137,7 @@
 
 // retryAfter returns when a refused request of n units fits. Future capacity is announced once:
 // callers that are refused together get successive times.
-func (a *Account) retryAfter(now time.Time, n float64, r Reach) time.Duration {
+func (a *Account) retryAfter(now time.Time, n float64, r Reachability) time.Duration {
 	rate := max(a.accrual(now, r), 1)
 	at := now.Add(seconds((1 - a.level) / rate))
 	if at.Before(a.promisedUntil) {
@@ -152,7 +152,7 @@
 }
 
 // advance brings the level up to date.
-func (a *Account) advance(now time.Time, r Reach) {
+func (a *Account) advance(now time.Time, r Reachability) {
 	dt := now.Sub(a.at).Seconds()
 	if dt <= 0 {
 		return
@@ -217,7 +217,7 @@
 
 // accrual returns the rate at which the level rises: what the others leave of the reachable part of
 // the limit, or this holder's share of that part if the demand exceeds it.
-func (a *Account) accrual(now time.Time, r Reach) float64 {
+func (a *Account) accrual(now time.Time, r Reachability) float64 {
 	own := a.limit.Rate * a.reachableShare(r)
 	demand := a.reachableDemand(now)
 	if demand > own {
@@ -229,7 +229,7 @@
 			}
 		}
 	}
-	return max(own, 0) * min(1, reachableMargin*r.Part)
+	return max(own, 0) * min(1, reachableMargin*r.HostShare)
 }
 
 // reachableShare returns the part of the limit that belongs to this failure domain and the
@@ -237,7 +237,7 @@
 // demand can't be used for this: each side of a partition would take itself for the larger one, and
 // two domains on one side and one on the other admitted 1.67 of a limit together. Domains that have
 // never reported have an even share.
-func (a *Account) reachableShare(r Reach) float64 {
+func (a *Account) reachableShare(r Reachability) float64 {
 	all := float64(len(r.Domains) + 1)
 	share := 1.0
 	for _, name := range r.Domains {
@@ -251,7 +251,7 @@
 }
 
 // maxLevel returns the cap on the level: the reachable part of the burst.
-func (a *Account) maxLevel(r Reach) float64 {
+func (a *Account) maxLevel(r Reachability) float64 {
 	return (max(a.limit.Burst, minBurstSeconds*a.limit.Rate) + a.limit.Spare) * a.reachableShare(r)
 }
 
--- a/quota/account_test.go
+++ b/quota/account_test.go
@@ -9,14 +9,14 @@
 )
 
 // soleHolder is the reachability of the only holder.
-var soleHolder = Reach{Part: 1, Settled: true}
+var soleHolder = Reachability{HostShare: 1, Settled: true}
 
 // TestAccount checks what one holder's account admits in sequences of requests.
 func TestAccount(t *testing.T) {
 	limit := Limit{Rate: 100, Burst: 200}
 	cases := []struct {
 		name  string
-		reach Reach
+		reach Reachability
 		play  func(a *Account, at func(s float64) time.Time) float64 // returns what is admitted
 		want  float64
 	}{
@@ -36,18 +36,18 @@
 			a.Refund(at(0), 90, soleHolder)
 			return admit(a, at(0), 1, 90, soleHolder)
 		}, 90},
-		{"a new account where others may have held the limit", Reach{Part: 1}, func(a *Account, at func(float64) time.Time) float64 {
-			return admit(a, at(0), 30, 10, Reach{Part: 1})
+		{"a new account where others may have held the limit", Reachability{HostShare: 1}, func(a *Account, at func(float64) time.Time) float64 {
+			return admit(a, at(0), 30, 10, Reachability{HostShare: 1})
 		}, 50},
-		{"what another domain reported as admitted", Reach{Part: 1, Domains: []string{"b"}, Settled: true}, func(a *Account, at func(float64) time.Time) float64 {
-			r := Reach{Part: 1, Domains: []string{"b"}, Settled: true}
-			a.Observe(at(0), "b", Word{Holder: 9}, r)
+		{"what another domain reported as admitted", Reachability{HostShare: 1, Domains: []string{"b"}, Settled: true}, func(a *Account, at func(float64) time.Time) float64 {
+			r := Reachability{HostShare: 1, Domains: []string{"b"}, Settled: true}
+			a.Observe(at(0), "b", Report{Holder: 9}, r)
 			a.Advance(at(2), r)
-			a.Observe(at(2), "b", Word{Holder: 9, Used: 150}, r)
+			a.Observe(at(2), "b", Report{Holder: 9, Used: 150}, r)
 			return admit(a, at(2), 30, 10, r)
 		}, 50},
-		{"a tenth of the hosts reachable", Reach{Part: 0.1}, func(a *Account, at func(float64) time.Time) float64 {
-			r := Reach{Part: 0.1}
+		{"a tenth of the hosts reachable", Reachability{HostShare: 0.1}, func(a *Account, at func(float64) time.Time) float64 {
+			r := Reachability{HostShare: 0.1}
 			admit(a, at(0), 30, 10, r)
 			sum := 0.0
 			for i := range 100 {
@@ -68,10 +68,10 @@
 }
 
 // Advance brings the account up to date without a request.
-func (a *Account) Advance(now time.Time, r Reach) { a.advance(now, r) }
+func (a *Account) Advance(now time.Time, r Reachability) { a.advance(now, r) }
 
 // admit makes k requests of n units each, and returns how many units were admitted.
-func admit(a *Account, now time.Time, k int, n float64, r Reach) (in float64) {
+func admit(a *Account, now time.Time, k int, n float64, r Reachability) (in float64) {
 	for range k {
 		if a.Admit(now, n, r).OK {
 			in += n
@@ -171,7 +171,7 @@
 // TestCutOff checks when a holder counts as cut off from all others: it depends on whether another
 // failure domain has reported, and on how long ago another host of its own domain made a request.
 func TestCutOff(t *testing.T) {
-	r := Reach{Part: 1, Domains: []string{"b", "c"}}
+	r := Reachability{HostShare: 1, Domains: []string{"b", "c"}}
 	team := Team{Number: 7, Limit: Limit{Rate: 100, Burst: 100}}
 	cases := []struct {
 		name        string
@@ -190,15 +190,15 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			s, now := NewAccounts(1), epoch.Add(time.Minute)
-			s.Ask(epoch, team, 1, r)
+			s.Admit(epoch, team, 1, r)
 			for _, d := range tc.reported {
-				s.Hear(epoch, team, d, Word{Holder: 9}, r)
+				s.Observe(epoch, team, d, Report{Holder: 9}, r)
 			}
 			if tc.asked > 0 {
-				s.Asked(now.Add(-seconds(tc.asked)), team.Number)
+				s.NotePeerRequest(now.Add(-seconds(tc.asked)), team.Number)
 			}
 			for _, d := range tc.unreachable {
-				s.Miss(now, team, d, r)
+				s.NoteUnreachable(now, team, d, r)
 			}
 			if got := s.CutOff(now, team.Number); got != tc.want {
 				t.Errorf("cut off: %v, want %v", got, tc.want)
--- a/quota/accounts.go
+++ b/quota/accounts.go
@@ -49,7 +49,7 @@
 }
 
 // account returns the account of a team; the caller holds the lock.
-func (s *Accounts) account(now time.Time, t Team, r Reach) *heldAccount {
+func (s *Accounts) account(now time.Time, t Team, r Reachability) *heldAccount {
 	h := s.open[t.Number]
 	if h == nil {
 		s.id++
@@ -60,15 +60,15 @@
 	return h
 }
 
-// Open reports whether this host has an account of a team.
-func (s *Accounts) Open(team uint32) bool {
+// Has reports whether this host has an account of a team.
+func (s *Accounts) Has(team uint32) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.open[team] != nil
 }
 
-// Ask asks a team's account on this host to admit n units.
-func (s *Accounts) Ask(now time.Time, t Team, n float64, r Reach) Answer {
+// Admit asks a team's account on this host to admit n units.
+func (s *Accounts) Admit(now time.Time, t Team, n float64, r Reachability) Answer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	h := s.account(now, t, r)
@@ -76,8 +76,8 @@
 	return h.Account.Admit(now, n, r)
 }
 
-// Asked records that another host requests units from a team's account.
-func (s *Accounts) Asked(now time.Time, team uint32) {
+// NotePeerRequest records that another host requests units from a team's account.
+func (s *Accounts) NotePeerRequest(now time.Time, team uint32) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if h := s.open[team]; h != nil {
@@ -101,18 +101,18 @@
 	return h != nil && h.lostAllOthers() && now.Sub(h.lastPeerRequest) > isolatedAfter
 }
 
-// Return refunds the n units of an admitted request that didn't run.
-func (s *Accounts) Return(now time.Time, t Team, n float64, r Reach) {
+// Refund refunds the n units of an admitted request that didn't run.
+func (s *Accounts) Refund(now time.Time, t Team, n float64, r Reachability) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.account(now, t, r).Account.Refund(now, n, r)
 }
 
-// Due returns the reports that are due now, by team, and closes idle accounts.
-func (s *Accounts) Due(now time.Time) map[uint32]Word {
+// DueReports returns the reports that are due now, by team, and closes idle accounts.
+func (s *Accounts) DueReports(now time.Time) map[uint32]Report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var due map[uint32]Word
+	var due map[uint32]Report
 	for team, h := range s.open {
 		if now.Sub(h.lastRequest) > idleTimeout {
 			delete(s.open, team)
@@ -122,7 +122,7 @@
 			continue
 		}
 		if due == nil {
-			due = map[uint32]Word{}
+			due = map[uint32]Report{}
 		}
 		due[team] = h.Report(now)
 		h.NoteReported(now, due[team])
@@ -130,9 +130,9 @@
 	return due
 }
 
-// Hear applies a report of another failure domain's holder of a team, and returns this host's own
+// Observe applies a report of another failure domain's holder of a team, and returns this host's own
 // report.
-func (s *Accounts) Hear(now time.Time, t Team, domain string, w Word, r Reach) Word {
+func (s *Accounts) Observe(now time.Time, t Team, domain string, w Report, r Reachability) Report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	h := s.account(now, t, r)
@@ -140,23 +140,23 @@
 	return h.Report(now)
 }
 
-// Miss records that another failure domain's holder of a team didn't answer.
-func (s *Accounts) Miss(now time.Time, t Team, domain string, r Reach) {
+// NoteUnreachable records that another failure domain's holder of a team didn't answer.
+func (s *Accounts) NoteUnreachable(now time.Time, t Team, domain string, r Reachability) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.account(now, t, r).Account.NoteUnreachable(now, domain, r)
 }
 
-// Passed records a holder's answer to a request of n units.
-func (s *Accounts) Passed(now time.Time, team uint32, n float64, a Answer) {
+// ObserveAnswer records a holder's answer to a request of n units.
+func (s *Accounts) ObserveAnswer(now time.Time, team uint32, n float64, a Answer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.isolatedLimiter(team).ObserveAnswer(now, n, a)
 }
 
-// Alone decides on a request of n units while no holder is reachable. even is this host's even
+// AdmitIsolated decides on a request of n units while no holder is reachable. even is this host's even
 // share of the fleet, 1/hosts.
-func (s *Accounts) Alone(now time.Time, t Team, n, even float64) Answer {
+func (s *Accounts) AdmitIsolated(now time.Time, t Team, n, even float64) Answer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.isolatedLimiter(t.Number).Admit(now, n, t.Limit, even)
@@ -173,13 +173,13 @@
 
 // Status is an account as operators see it, in units of the limit.
 type Status struct {
-	Team   uint32
-	Limit  Limit
-	Level  float64 // free; at 0 and below requests are refused
-	Pace   float64 // admitted a second in this failure domain
-	Asked  float64 // requested a second in this failure domain
-	Use    float64 // part of the limit that is admitted in all domains
-	Missed []string
+	Team        uint32
+	Limit       Limit
+	Level       float64 // free; at 0 and below requests are refused
+	Pace        float64 // admitted a second in this failure domain
+	Asked       float64 // requested a second in this failure domain
+	Use         float64 // part of the limit that is admitted in all domains
+	Unreachable []string
 }
 
 // List returns the accounts that this host holds, ordered by team.
@@ -191,10 +191,10 @@
 		row := Status{Team: team, Limit: h.limit, Level: h.level, Pace: h.admitted.at(now), Asked: h.Account.demand.at(now), Use: h.use(now)}
 		for domain, o := range h.others {
 			if o.unreachable {
-				row.Missed = append(row.Missed, domain)
+				row.Unreachable = append(row.Unreachable, domain)
 			}
 		}
-		slices.Sort(row.Missed)
+		slices.Sort(row.Unreachable)
 		out = append(out, row)
 	}
 	slices.SortFunc(out, func(a, b Status) int { return cmp.Compare(a.Team, b.Team) })
--- a/quota/ways_test.go
+++ b/quota/ways_test.go
@@ -254,8 +254,8 @@
 	return host
 }
 
-func (h *holders) reach(at time.Duration, host int) Reach {
-	r := Reach{Part: 1}
+func (h *holders) reach(at time.Duration, host int) Reachability {
+	r := Reachability{HostShare: 1}
 	for d := range h.l.domains {
 		if d != h.domain(host) {
 			r.Domains = append(r.Domains, fmt.Sprint(d))
@@ -270,7 +270,7 @@
 			}
 		}
 	}
-	r.Part = float64(reachable) / float64(all)
+	r.HostShare = float64(reachable) / float64(all)
 	r.Settled = h.l.killed == 0 || at < h.l.killed
 	return r
 }
@@ -321,7 +321,7 @@
 func (h *holders) admit(at time.Duration, host int, n float64) bool {
 	now, r := epoch.Add(at), h.reach(at, host)
 	to := h.holder(at, host, h.domain(host))
-	if to != host && (h.l.cutHost(host, at) || h.l.cutHost(to, at)) || r.Part < 0.5 {
+	if to != host && (h.l.cutHost(host, at) || h.l.cutHost(to, at)) || r.HostShare < 0.5 {
 		return h.isolated[host].Admit(now, n, h.l.limitOf(at), 1/float64(h.hosts(at))).OK
 	}
 	a := h.account(at, to).Admit(now, n, h.reach(at, to))
@@ -343,7 +343,7 @@
 type sent struct {
 	at       time.Duration
 	from, to int
-	report   Word
+	report   Report
 }
 
 func newExchangedCounts(l *scenario) *exchangedCounts {
@@ -355,8 +355,8 @@
 	return c
 }
 
-func (c *exchangedCounts) reach(host int) Reach {
-	return Reach{Part: 1, Domains: slices.Delete(slices.Clone(c.names), host, host+1)}
+func (c *exchangedCounts) reach(host int) Reachability {
+	return Reachability{HostShare: 1, Domains: slices.Delete(slices.Clone(c.names), host, host+1)}
 }
 
 func (c *exchangedCounts) open(at time.Duration) {
--- a/quota/word.go
+++ b/quota/word.go
@@ -30,15 +30,15 @@
 }
 
 // Report returns the account's current report.
-func (a *Account) Report(now time.Time) Word {
-	return Word{Holder: a.id, Used: a.used, Pace: a.admitted.at(now), Asked: a.demand.at(now)}
+func (a *Account) Report(now time.Time) Report {
+	return Report{Holder: a.id, Used: a.used, Pace: a.admitted.at(now), Asked: a.demand.at(now)}
 }
 
 // NoteReported records that a report was sent to the others.
-func (a *Account) NoteReported(now time.Time, w Word) { a.lastReport, a.reportedAt = w, now }
+func (a *Account) NoteReported(now time.Time, w Report) { a.lastReport, a.reportedAt = w, now }
 
 // Observe applies a report of the holder of another failure domain.
-func (a *Account) Observe(now time.Time, domain string, w Word, r Reach) {
+func (a *Account) Observe(now time.Time, domain string, w Report, r Reachability) {
 	a.advance(now, r)
 	o := a.others[domain]
 	if o == nil {
@@ -68,7 +68,7 @@
 // failed call on each side of a partition keeps to its share: when a partition came with six times
 // the usual load and the holder got another 1.5 s, 1.08 of what a limit allows in eight seconds was
 // admitted.
-func (a *Account) NoteUnreachable(now time.Time, domain string, r Reach) {
+func (a *Account) NoteUnreachable(now time.Time, domain string, r Reachability) {
 	a.advance(now, r)
 	o := a.others[domain]
 	if o == nil || o.unreachable {
--- a/route/explain.go
+++ b/route/explain.go
@@ -37,7 +37,7 @@
 		if !s.DigestAt.IsZero() {
 			row.Age = math.Round(r.Now.Sub(s.DigestAt).Seconds()*1000) / 1000
 		}
-		if w := s.Limit.Word(); w.Named {
+		if w := s.Limit.Report(); w.Named {
 			row.Limit = &w.PerSecond
 		}
 		if row.Reason == "" {
--- a/route/fleet.go
+++ b/route/fleet.go
@@ -229,7 +229,7 @@
 	s.MaybeColdUntil, s.NoPermitUntil, s.RetryAt = old.MaybeColdUntil, old.NoPermitUntil, old.RetryAt
 	s.Limit, s.LimitedUntil = old.Limit, old.LimitedUntil
 	s.LimitReportedAt, s.LimitAnnouncedAt = old.LimitReportedAt, old.LimitAnnouncedAt
-	s.Limit.Restarted(s.Spec.Born)
+	s.Limit.DropIfRestarted(s.Spec.Born)
 	if old.Evacuated && !s.Evacuated {
 		s.AssumeCold(now)
 	}
--- a/route/gate.go
+++ b/route/gate.go
@@ -103,7 +103,7 @@
 		return ReasonRemoteRegion
 	case r.Now.Before(s.NoPermitUntil) && s.IsCold(r.Now):
 		return ReasonCold
-	case r.Now.Before(s.NoPermitUntil) && s.Limit.Word().Named:
+	case r.Now.Before(s.NoPermitUntil) && s.Limit.Report().Named:
 		return ReasonLimited
 	case !s.hasConnection(r.Hosts):
 		return ReasonConnections
--- a/route/gate_test.go
+++ b/route/gate_test.go
@@ -58,10 +58,10 @@
 		{"more hosts than connections", func(s *State, r *Request) { s.Role, s.Connections, r.Hosts = config.Service, 20, 300 }, ReasonNone},
 		{"an engine's connections", func(s *State, r *Request) { s.Role, s.Connections, s.InFlight, r.Hosts = config.Decode, 20, 50, 2 }, ReasonNone},
 		{"at its limit without a permit", func(s *State, r *Request) {
-			s.Limit.Hear(r.Now, pace.Word{Named: true, At: r.Now})
+			s.Limit.Observe(r.Now, pace.Report{Named: true, At: r.Now})
 			s.NoPermitUntil = r.Now.Add(time.Millisecond)
 		}, ReasonLimited},
-		{"at its limit", func(s *State, r *Request) { s.Limit.Hear(r.Now, pace.Word{Named: true, At: r.Now}) }, ReasonNone},
+		{"at its limit", func(s *State, r *Request) { s.Limit.Observe(r.Now, pace.Report{Named: true, At: r.Now}) }, ReasonNone},
 		{"excluded", func(s *State, r *Request) { r.AddExcluded(s.Number) }, ReasonExcluded},
 		{"another region", func(s *State, _ *Request) { s.Region = other }, ReasonRemoteRegion},
 		{"another region that it may be redirected to", func(s *State, r *Request) { s.Region, r.RemoteRegions = other, other }, ReasonNone},
--- a/route/state.go
+++ b/route/state.go
@@ -53,19 +53,19 @@
 	Region           config.Regions // as a set of one
 	Role             config.Role
 	Spec             *config.Endpoint
-	Leaving          bool        // by the configuration
-	Evacuated        bool        // its failure domain is being evacuated
-	UnconfirmedUntil time.Time   // until when its registration may be one restored from an old copy of the store
-	CutOffUntil      time.Time   // until when its failure domain counts as cut off from this host
-	ColdUntil        time.Time   // until when it is cold by its registration
-	MaybeColdUntil   time.Time   // until when it may be cold though its registration doesn't say so
-	NoPermitUntil    time.Time   // before which its owner gives out no start permit
-	RetryAt          time.Time   // when a caller that got no start permit should come back
-	Limit            pace.Belief // on requests per second
-	LimitedUntil     time.Time   // until when it costs more because it names a limit
-	LimitReportedAt  time.Time   // when a changed limit was last reported to its owner, by package clock
-	LimitAnnouncedAt time.Time   // when other hosts were last notified that it names a limit, or no longer one, by package clock
-	Notices          *Notices    // what its responses to this host announced; nil: nothing
+	Leaving          bool            // by the configuration
+	Evacuated        bool            // its failure domain is being evacuated
+	UnconfirmedUntil time.Time       // until when its registration may be one restored from an old copy of the store
+	CutOffUntil      time.Time       // until when its failure domain counts as cut off from this host
+	ColdUntil        time.Time       // until when it is cold by its registration
+	MaybeColdUntil   time.Time       // until when it may be cold though its registration doesn't say so
+	NoPermitUntil    time.Time       // before which its owner gives out no start permit
+	RetryAt          time.Time       // when a caller that got no start permit should come back
+	Limit            pace.LimitState // on requests per second
+	LimitedUntil     time.Time       // until when it costs more because it names a limit
+	LimitReportedAt  time.Time       // when a changed limit was last reported to its owner, by package clock
+	LimitAnnouncedAt time.Time       // when other hosts were last notified that it names a limit, or no longer one, by package clock
+	Notices          *Notices        // what its responses to this host announced; nil: nothing
 	Digest           Digest
 	DigestAt         time.Time // when the digest was made; zero: no digest
 	Owned            bool      // this host owns it: asking it needs no message
