--- a/blackboard/behind.go
+++ b/blackboard/behind.go
@@ -14,9 +14,9 @@
 	since    time.Time       // meaningless while this host is not behind
 }
 
-// HeardOf records which revisions of the configuration and of the roster another host has in
+// ObserveRevisions records which revisions of the configuration and of the roster another host has in
 // force. It reports whether the configuration is newer than this host's and not yet known.
-func (t *ConfigTable) HeardOf(revision uint64, roster config.Position, now time.Time) bool {
+func (t *ConfigTable) ObserveRevisions(revision uint64, roster config.Position, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	before := t.isBehind()
--- a/blackboard/board.go
+++ b/blackboard/board.go
@@ -18,19 +18,19 @@
 	Number      uint32 // of this host
 	Incarnation uint64 // of this process, ms since 1970
 
-	Config    *ConfigTable
-	Emptied   *EvacuationTable
-	Hosts     *HostTable
-	Domains   *DomainTable
-	Endpoints *EndpointTable
-	Regions   *RegionTable
-	Requests  *RequestTable
-	Keys      *KeyTable
-	Quotas    *quota.Accounts      // of the teams whose limits this host holds
-	Suspects  *quarantine.Registry // requests during which endpoints crashed
-	Invariant *invariant.Set
-	Pause     *Pause
-	Wake      *Wake
+	Config      *ConfigTable
+	Evacuations *EvacuationTable
+	Hosts       *HostTable
+	Domains     *DomainTable
+	Endpoints   *EndpointTable
+	Regions     *RegionTable
+	Requests    *RequestTable
+	Keys        *KeyTable
+	Quotas      *quota.Accounts      // of the teams whose limits this host holds
+	Suspects    *quarantine.Registry // requests during which endpoints crashed
+	Invariant   *invariant.Set
+	Pause       *Pause
+	Wake        *Wake
 
 	startedAt    time.Time
 	leaving      atomic.Bool
@@ -45,14 +45,14 @@
 	inv := new(invariant.Set)
 	b := &Board{
 		Settings: s, Number: request.HostNumber(s.Host), Incarnation: uint64(time.Now().UnixMilli()),
-		Config: newConfigTable(inv), Emptied: new(EvacuationTable), Domains: newDomainTable(s.Domain), Endpoints: newEndpointTable(),
+		Config: newConfigTable(inv), Evacuations: new(EvacuationTable), Domains: newDomainTable(s.Domain), Endpoints: newEndpointTable(),
 		Regions: newRegionTable(), Requests: newRequestTable(inv),
 		Keys: newKeyTable(), Quotas: quota.NewAccounts(rand.Uint64() << 16), Suspects: quarantine.New(s.Host), Invariant: inv, Wake: newWake(), startedAt: time.Now(),
 		Pause: NewPause(config.Millis(s.PauseMillis)),
 	}
 	b.Hosts = newHostTable(Host{
-		Name: s.Host, Number: b.Number, Domain: s.Domain, Region: s.Region, Peers: s.PeersAt(),
-		Incarnation: b.Incarnation, Noted: time.Now(),
+		Name: s.Host, Number: b.Number, Domain: s.Domain, Region: s.Region, Peers: s.PeersAddress(),
+		Incarnation: b.Incarnation, ChangedAt: time.Now(),
 	}, config.Millis(s.SuspectMillis), config.Millis(s.HeartbeatMillis))
 	return b
 }
@@ -78,8 +78,8 @@
 	return len(b.Settings.Seeds) > 0 && now.Sub(b.startedAt) < joinTime
 }
 
-// NextID returns a new request id.
-func (b *Board) NextID() request.ID {
+// NewRequestID returns a new request id.
+func (b *Board) NewRequestID() request.ID {
 	return request.ID{Host: b.Number, Incarnation: b.Hosts.Self().Incarnation, Counter: b.counter.Add(1)}
 }
 
--- a/blackboard/census.go
+++ b/blackboard/census.go
@@ -4,17 +4,17 @@
 
 // Census is a count of the known hosts.
 type Census struct {
-	Hosts   int             // known hosts that are not leaving, including this one
-	Part    float64         // live share of the known hosts of the own failure domain
-	Domains map[string]bool // failure domains with a known host
-	Changed time.Time       // when a host of the own failure domain last joined, went or began to leave
+	Hosts     int             // known hosts that are not leaving, including this one
+	LiveShare float64         // live share of the known hosts of the own failure domain
+	Domains   map[string]bool // failure domains with a known host
+	Changed   time.Time       // when a host of the own failure domain last joined, went or began to leave
 }
 
 // Census counts the hosts that are not leaving.
 func (t *HostTable) Census(now time.Time) Census {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
-	c := Census{Domains: map[string]bool{t.self.Domain: true}, Changed: t.self.Noted}
+	c := Census{Domains: map[string]bool{t.self.Domain: true}, Changed: t.self.ChangedAt}
 	near, live := 0, 0
 	for _, h := range t.hosts {
 		own := h.Domain == t.self.Domain
@@ -34,16 +34,16 @@
 			live++
 		}
 	}
-	c.Part = float64(live) / float64(near)
+	c.LiveShare = float64(live) / float64(near)
 	return c
 }
 
 // noteChange updates Changed with the time at which a host of the own failure domain joined,
 // began to leave or fell silent.
 func (c *Census) noteChange(h *Host, live bool) {
-	at := h.Noted
+	at := h.ChangedAt
 	if !live {
-		at = h.Advanced
+		at = h.HeartbeatAt
 	}
 	if at.After(c.Changed) {
 		c.Changed = at
--- a/blackboard/changes.go
+++ b/blackboard/changes.go
@@ -81,7 +81,7 @@
 	c := &config.RosterChange{From: after, Revision: t.roster.Revision, Evacuated: t.roster.Evacuated}
 	for name, number := range t.log.changedSince(after) {
 		if e := t.roster.Endpoints.Get(number); e != nil && e.Name == name {
-			c.Changed = append(c.Changed, e.Told(now))
+			c.Changed = append(c.Changed, e.WithRelativeColdTime(now))
 		} else {
 			c.Gone = append(c.Gone, name)
 		}
@@ -89,12 +89,12 @@
 	return nil, c
 }
 
-// After applies a change to the roster in force and returns the result, or nil if the change
+// ApplyChange applies a change to the roster in force and returns the result, or nil if the change
 // doesn't apply to the revision in force.
-func (t *ConfigTable) After(c *config.RosterChange) *config.Roster {
+func (t *ConfigTable) ApplyChange(c *config.RosterChange) *config.Roster {
 	r := t.Roster()
 	if r == nil || r.Revision < c.From || r.Revision >= c.Revision {
 		return nil
 	}
-	return r.With(c)
+	return r.Apply(c)
 }
--- a/blackboard/choice.go
+++ b/blackboard/choice.go
@@ -40,8 +40,8 @@
 	return out
 }
 
-// Ahead returns how many hosts come before this one in the Order of its domain.
-func (t *HostTable) Ahead(key uint64, domain string, now time.Time) (n int) {
+// CountAhead returns how many hosts come before this one in the Order of its domain.
+func (t *HostTable) CountAhead(key uint64, domain string, now time.Time) (n int) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	own := Rendezvous(key, t.self.Number)
@@ -80,7 +80,7 @@
 	defer t.mu.RUnlock()
 	sum := t.members(now)
 	for _, h := range t.hosts {
-		if h.Doubted && !h.Leaving && t.live(h, now) {
+		if h.Unconfirmed && !h.Leaving && t.live(h, now) {
 			sum++
 		}
 	}
@@ -111,9 +111,9 @@
 	return t.first(key, now, func(h *Host) bool { return h.Domain == domain }, skipUnconfirmed)
 }
 
-// FirstSteady returns the first host of Order, unconfirmed or not. All hosts with the same view
+// FirstStable returns the first host of Order, unconfirmed or not. All hosts with the same view
 // of the members agree on it.
-func (t *HostTable) FirstSteady(key uint64, domain string, now time.Time) (Host, bool) {
+func (t *HostTable) FirstStable(key uint64, domain string, now time.Time) (Host, bool) {
 	return t.first(key, now, func(h *Host) bool { return h.Domain == domain }, includeUnconfirmed)
 }
 
@@ -136,7 +136,7 @@
 func (t *HostTable) first(key uint64, now time.Time, eligible func(h *Host) bool, d unconfirmedRule) (Host, bool) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
-	unconfirmed := func(h *Host) bool { return d == skipUnconfirmed && h.Doubted }
+	unconfirmed := func(h *Host) bool { return d == skipUnconfirmed && h.Unconfirmed }
 	var best *Host
 	var top uint64
 	for _, h := range t.hosts {
@@ -172,15 +172,15 @@
 		}
 	}
 	slices.SortFunc(c.hosts, func(a, b Host) int {
-		if a.Doubted == b.Doubted {
+		if a.Unconfirmed == b.Unconfirmed {
 			return cmp.Compare(a.Number, b.Number)
-		} else if b.Doubted {
+		} else if b.Unconfirmed {
 			return -1
 		}
 		return 1
 	})
 	for _, h := range c.hosts {
-		if h.Doubted {
+		if h.Unconfirmed {
 			c.unconfirmed++
 		}
 	}
@@ -211,8 +211,8 @@
 	return highestWeight(confirmed, key)
 }
 
-// FirstSteady is like HostTable.FirstSteady.
-func (c *Candidates) FirstSteady(key uint64) (number uint32, ok bool) {
+// FirstStable is like HostTable.FirstSteady.
+func (c *Candidates) FirstStable(key uint64) (number uint32, ok bool) {
 	return highestWeight(c.hosts, key)
 }
 
--- a/blackboard/choice_test.go
+++ b/blackboard/choice_test.go
@@ -21,13 +21,13 @@
 		for i := range rapid.IntRange(0, 12).Draw(t, "hosts") {
 			name := fmt.Sprintf("h%d", i)
 			h := Host{Name: name, Number: request.HostNumber(name), Domain: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "domain"), Region: "r",
-				Incarnation: 1, Beat: 1, Leaving: rapid.Bool().Draw(t, "leaving")}
+				Incarnation: 1, Heartbeat: 1, Leaving: rapid.Bool().Draw(t, "leaving")}
 			hosts.Learn(h, now)
 			if rapid.Bool().Draw(t, "unconfirmed") {
-				hosts.Doubt(h.Number)
+				hosts.MarkUnconfirmed(h.Number)
 			}
 			if rapid.Bool().Draw(t, "suspected") {
-				hosts.Accuse(h.Number, 1, 1, now)
+				hosts.Suspect(h.Number, 1, 1, now)
 			}
 		}
 		for _, domain := range []string{"a", "b", "none"} {
@@ -38,8 +38,8 @@
 				if got, found := c.First(key); got != want.Number || found != ok || c.Empty() == ok {
 					t.Fatalf("First of %s: %d %v, want %d %v", domain, got, found, want.Number, ok)
 				}
-				want, ok = hosts.FirstSteady(key, domain, now)
-				if got, found := c.FirstSteady(key); got != want.Number || found != ok {
+				want, ok = hosts.FirstStable(key, domain, now)
+				if got, found := c.FirstStable(key); got != want.Number || found != ok {
 					t.Fatalf("FirstSteady of %s: %d %v, want %d %v", domain, got, found, want.Number, ok)
 				}
 			}
--- a/blackboard/cold_test.go
+++ b/blackboard/cold_test.go
@@ -38,7 +38,7 @@
 		{12_000, 3000, 15_000, true}, // restarted, and the warm state was never reported
 	} {
 		at := now.Add(config.Millis(tc.at))
-		r := &config.RosterList{Revision: config.Position(i + 1), Endpoints: []config.Endpoint{coldEndpoint(tc.left).Heard(at)}}
+		r := &config.RosterList{Revision: config.Position(i + 1), Endpoints: []config.Endpoint{coldEndpoint(tc.left).WithLocalColdTime(at)}}
 		if _, err := one.OfferRoster(r.Roster(), at); err != nil {
 			t.Fatal(err)
 		}
@@ -51,7 +51,7 @@
 		}
 		if change != nil {
 			told = len(change.Changed) > 0
-			full = other.After(change)
+			full = other.ApplyChange(change)
 		}
 		if told != tc.told {
 			t.Errorf("at %d ms: sent %v, want %v", tc.at, told, tc.told)
@@ -85,7 +85,7 @@
 	}{
 		{"cut off", func(b *Board) { b.Endpoints.SetCutOff("d", time.Now().Add(time.Hour)) }, func(b *Board) { b.Endpoints.SetCutOff("d", time.Time{}) }},
 		{"evacuated", func(b *Board) {
-			b.Endpoints.Touch(route.Number("e"), func(s *route.State) { s.Evacuated = true })
+			b.Endpoints.Update(route.Number("e"), func(s *route.State) { s.Evacuated = true })
 		}, func(*Board) {}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -99,7 +99,7 @@
 				if _, err := b.Config.OfferRoster((&config.RosterList{Revision: revision, Endpoints: []config.Endpoint{coldEndpoint(0)}}).Roster(), time.Now()); err != nil {
 					t.Fatal(err)
 				}
-				b.Endpoints.Fit(b.Config.View())
+				b.Endpoints.ApplyView(b.Config.View())
 			}
 			cold := func(in time.Duration) (is bool) {
 				b.Endpoints.Find(route.Number("e"), func(_ *config.View, s *route.State) { is = s.IsCold(time.Now().Add(in)) })
--- a/blackboard/config.go
+++ b/blackboard/config.go
@@ -19,8 +19,8 @@
 	inUse atomic.Pointer[config.View]
 
 	mu                 sync.Mutex
-	roster             *config.Roster // nil before the first
-	expired            config.Lapsed  // of the roster
+	roster             *config.Roster          // nil before the first
+	expired            config.ExpiredEndpoints // of the roster
 	kept               keptEvacuations
 	log                rosterLog
 	rejected           uint64 // highest revision that was rejected
@@ -144,9 +144,9 @@
 		e.Lapsed = t.expiredSince(known, now)
 	}
 	if e.ColdUntil.IsZero() { // sent by another host
-		e = e.Heard(now)
+		e = e.WithLocalColdTime(now)
 	}
-	if e.Expired(now) {
+	if e.PastGrace(now) {
 		return nil, nil
 	}
 	return &e, nil
--- a/blackboard/config_test.go
+++ b/blackboard/config_test.go
@@ -42,13 +42,13 @@
 		steps []step
 		want  string
 	}{
-		{"used for the grace period", []step{{roster: "a b"}, {roster: "a B"}, {after: config.LapsedKept}}, "a b"},
-		{"then considered gone", []step{{roster: "a b"}, {roster: "a B"}, {after: config.LapsedKept + 1}}, "a"},
+		{"used for the grace period", []step{{roster: "a b"}, {roster: "a B"}, {after: config.ExpiryGrace}}, "a b"},
+		{"then considered gone", []step{{roster: "a b"}, {roster: "a B"}, {after: config.ExpiryGrace + 1}}, "a"},
 		{"registered again in time", []step{{roster: "a b"}, {roster: "a B"}, {after: time.Second, roster: "a b"}, {after: time.Minute}}, "a b"},
 		{"a peer's clock is behind", []step{{roster: "a b"}, {roster: "a B", since: -time.Hour}, {after: time.Second}}, "a b"},
-		{"a peer's clock is ahead", []step{{roster: "a b"}, {roster: "a B", since: time.Hour}, {after: config.LapsedKept + 1}}, "a"},
+		{"a peer's clock is ahead", []step{{roster: "a b"}, {roster: "a B", since: time.Hour}, {after: config.ExpiryGrace + 1}}, "a"},
 		{"a second offer doesn't prolong it", []step{{roster: "a b"}, {roster: "a B"}, {after: 2 * time.Second, roster: "a B"}, {after: time.Second}}, "a"},
-		{"a peer that noticed later", []step{{roster: "a b"}, {roster: "a B"}, {after: config.LapsedKept + 1}, {roster: "a B"}}, "a"},
+		{"a peer that noticed later", []step{{roster: "a b"}, {roster: "a B"}, {after: config.ExpiryGrace + 1}, {roster: "a B"}}, "a"},
 		{"known to have left before a peer reports it as expired", []step{{roster: "a b"}, {roster: "a"}, {roster: "a B"}}, "a"},
 		{"a host without a roster accepts them", []step{{roster: "a B"}}, "a b"},
 	}
@@ -61,7 +61,7 @@
 			now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 			for i, s := range tc.steps {
 				now = now.Add(s.after)
-				table.DropLapsed(now)
+				table.DropExpired(now)
 				if s.roster == "" {
 					continue
 				}
@@ -112,7 +112,7 @@
 		if change != nil {
 			changes++
 			rows += len(change.Changed) + len(change.Gone)
-			full = other.After(change)
+			full = other.ApplyChange(change)
 		} else {
 			whole++
 			full = list.Roster()
@@ -155,16 +155,16 @@
 		after int // seconds since the start
 		want  time.Duration
 	}{
-		{"another has the first", func() bool { return table.HeardOf(3, 0, at(0)) }, true, 2, 2 * time.Second},
-		{"reported again", func() bool { return table.HeardOf(3, 0, at(3)) }, false, 4, 4 * time.Second},
-		{"a later one", func() bool { return table.HeardOf(5, 0, at(5)) }, true, 6, 6 * time.Second},
-		{"an earlier one", func() bool { return table.HeardOf(4, 0, at(6)) }, false, 7, 7 * time.Second},
+		{"another has the first", func() bool { return table.ObserveRevisions(3, 0, at(0)) }, true, 2, 2 * time.Second},
+		{"reported again", func() bool { return table.ObserveRevisions(3, 0, at(3)) }, false, 4, 4 * time.Second},
+		{"a later one", func() bool { return table.ObserveRevisions(5, 0, at(5)) }, true, 6, 6 * time.Second},
+		{"an earlier one", func() bool { return table.ObserveRevisions(4, 0, at(6)) }, false, 7, 7 * time.Second},
 		{"the later one arrives", func() bool { _, err := table.Offer(5, []byte(rosterDocument)); return err != nil }, false, 8, 0},
-		{"a report of the one in force", func() bool { return table.HeardOf(5, 0, at(9)) }, false, 10, 0},
-		{"and of the next", func() bool { return table.HeardOf(6, 0, at(11)) }, true, 12, time.Second},
+		{"a report of the one in force", func() bool { return table.ObserveRevisions(5, 0, at(9)) }, false, 10, 0},
+		{"and of the next", func() bool { return table.ObserveRevisions(6, 0, at(11)) }, true, 12, time.Second},
 		{"which arrives", func() bool { _, err := table.Offer(6, []byte(rosterDocument)); return err != nil }, false, 13, 0},
-		{"another has a later roster only", func() bool { return table.HeardOf(6, 4, at(14)) }, false, 16, 2 * time.Second},
-		{"and a configuration", func() bool { return table.HeardOf(7, 4, at(17)) }, true, 18, 4 * time.Second},
+		{"another has a later roster only", func() bool { return table.ObserveRevisions(6, 4, at(14)) }, false, 16, 2 * time.Second},
+		{"and a configuration", func() bool { return table.ObserveRevisions(7, 4, at(17)) }, true, 18, 4 * time.Second},
 		{"the roster arrives", func() bool {
 			in, err := table.OfferRoster((&config.RosterList{Revision: 4}).Roster(), at(18))
 			return !in || err != nil
--- a/blackboard/domains.go
+++ b/blackboard/domains.go
@@ -32,9 +32,9 @@
 	return &DomainTable{own: own, rows: map[string]*reachability{}}
 }
 
-// Missed records that a host or endpoint of a domain didn't answer a call. It returns until
+// RecordMiss records that a host or endpoint of a domain didn't answer a call. It returns until
 // when the domain counts as cut off, zero if it doesn't, and whether it didn't before.
-func (t *DomainTable) Missed(domain string, number uint32, now time.Time) (until time.Time, changed bool) {
+func (t *DomainTable) RecordMiss(domain string, number uint32, now time.Time) (until time.Time, changed bool) {
 	if domain == t.own {
 		return time.Time{}, false
 	}
@@ -59,9 +59,9 @@
 	return r.until, changed
 }
 
-// Heard records that a host or endpoint of a domain answered, and reports whether the domain
+// RecordAnswer records that a host or endpoint of a domain answered, and reports whether the domain
 // counted as cut off before.
-func (t *DomainTable) Heard(domain string) bool {
+func (t *DomainTable) RecordAnswer(domain string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.rows[domain]
@@ -93,20 +93,20 @@
 	return out
 }
 
-// Missed records that a host or endpoint of a failure domain didn't answer a call, and reports
+// RecordMiss records that a host or endpoint of a failure domain didn't answer a call, and reports
 // whether the domain counts as cut off from now on.
-func (b *Board) Missed(domain string, number uint32, now time.Time) (changed bool) {
-	until, changed := b.Domains.Missed(domain, number, now)
+func (b *Board) RecordMiss(domain string, number uint32, now time.Time) (changed bool) {
+	until, changed := b.Domains.RecordMiss(domain, number, now)
 	if !until.IsZero() {
 		b.Endpoints.SetCutOff(domain, until)
 	}
 	return changed
 }
 
-// Heard records that a host or endpoint of a failure domain answered a call, and reports
+// RecordAnswer records that a host or endpoint of a failure domain answered a call, and reports
 // whether the domain counted as cut off until now.
-func (b *Board) Heard(domain string) (changed bool) {
-	changed = b.Domains.Heard(domain)
+func (b *Board) RecordAnswer(domain string) (changed bool) {
+	changed = b.Domains.RecordAnswer(domain)
 	if changed {
 		b.Endpoints.SetCutOff(domain, time.Time{})
 	}
--- a/blackboard/endpoints.go
+++ b/blackboard/endpoints.go
@@ -18,8 +18,8 @@
 
 func newEndpointTable() *EndpointTable { return &EndpointTable{fleet: route.NewFleet(nil)} }
 
-// Fit switches to another view and keeps the state of endpoints that are in both.
-func (t *EndpointTable) Fit(v *config.View) {
+// ApplyView switches to another view and keeps the state of endpoints that are in both.
+func (t *EndpointTable) ApplyView(v *config.View) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.fleet.SetView(v, time.Now())
@@ -49,9 +49,9 @@
 	}
 }
 
-// Touch calls f to update the state of an endpoint, for what this host itself has just sent
+// Update calls f to update the state of an endpoint, for what this host itself has just sent
 // or received.
-func (t *EndpointTable) Touch(number uint32, f func(s *route.State)) {
+func (t *EndpointTable) Update(number uint32, f func(s *route.State)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s := t.fleet.Find(number); s != nil {
@@ -59,10 +59,10 @@
 	}
 }
 
-// Hear records the limit that an endpoint named in a response, and returns what it changes.
+// ObserveLimit records the limit that an endpoint named in a response, and returns what it changes.
 // now is by package clock.
-func (t *EndpointTable) Hear(number uint32, now time.Time, w pace.Report) (c pace.Change) {
-	t.Touch(number, func(s *route.State) {
+func (t *EndpointTable) ObserveLimit(number uint32, now time.Time, w pace.Report) (c pace.Change) {
+	t.Update(number, func(s *route.State) {
 		c = s.Limit.Observe(now, w)
 		s.LimitedUntil = time.Now().Add(s.Limit.PenaltyLeft(now))
 		if c == pace.ChangeEnded {
@@ -72,18 +72,18 @@
 	return c
 }
 
-// Notice records the other notices in an endpoint's response, besides its limit.
-func (t *EndpointTable) Notice(number uint32, n route.Notice) (c route.NoticeChange) {
+// ObserveNotice records the other notices in an endpoint's response, besides its limit.
+func (t *EndpointTable) ObserveNotice(number uint32, n route.Notice) (c route.NoticeChange) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.fleet.ObserveNotice(number, n)
 }
 
-// Admit reports whether a call may be made to an endpoint, considering the backoff that it asked
+// AdmitCall reports whether a call may be made to an endpoint, considering the backoff that it asked
 // this host for.
-func (t *EndpointTable) Admit(number uint32, now time.Time) bool {
+func (t *EndpointTable) AdmitCall(number uint32, now time.Time) bool {
 	admitted := true
-	t.Touch(number, func(s *route.State) { admitted = s.Notices.Admit(now) })
+	t.Update(number, func(s *route.State) { admitted = s.Notices.Admit(now) })
 	return admitted
 }
 
@@ -102,17 +102,17 @@
 	t.fleet.SetOwned(number, own)
 }
 
-// Wanted selects digests.
-type Wanted struct {
-	Domain  string        // only of this failure domain; empty: of all
-	MaxAge  time.Duration // only digests no older than this
-	Most    int           // maximum number, drawn uniformly at random
-	Lacking func(number, ageMillis uint32) bool
+// DigestQuery selects digests.
+type DigestQuery struct {
+	Domain string        // only of this failure domain; empty: of all
+	MaxAge time.Duration // only digests no older than this
+	Max    int           // maximum number, drawn uniformly at random
+	Want   func(number, ageMillis uint32) bool
 }
 
 // Digests returns the selected digests with their age. It scans only the endpoints of the
 // failure domain, and allocates nothing for digests that aren't drawn.
-func (t *EndpointTable) Digests(now time.Time, w Wanted) []route.Digest {
+func (t *EndpointTable) Digests(now time.Time, w DigestQuery) []route.Digest {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	states := t.fleet.All()
@@ -123,13 +123,13 @@
 	seen := 0
 	for s := range states {
 		age := now.Sub(s.DigestAt)
-		if s.DigestAt.IsZero() || age > w.MaxAge || !w.Lacking(s.Number, uint32(age.Milliseconds())) {
+		if s.DigestAt.IsZero() || age > w.MaxAge || !w.Want(s.Number, uint32(age.Milliseconds())) {
 			continue
 		}
 		seen++
-		if len(drawn) < w.Most {
+		if len(drawn) < w.Max {
 			drawn = append(drawn, s)
-		} else if i := rand.IntN(seen); i < w.Most {
+		} else if i := rand.IntN(seen); i < w.Max {
 			drawn[i] = s
 		}
 	}
--- a/blackboard/evacuations_test.go
+++ b/blackboard/evacuations_test.go
@@ -70,7 +70,7 @@
 		{"nothing", func(*ConfigTable) {}},
 		{"a registration expires and is dropped", func(t *ConfigTable) {
 			t.OfferRoster(lapsed.Roster(), now)
-			t.DropLapsed(now.Add(config.LapsedKept + time.Second))
+			t.DropExpired(now.Add(config.ExpiryGrace + time.Second))
 		}},
 		{"a new document", func(t *ConfigTable) { t.Offer(2, []byte(twoDomains)) }},
 		{"an endpoint leaves", func(t *ConfigTable) { t.OfferRoster(evacuatedRoster(6, 5, "d").Roster(), now) }},
@@ -95,7 +95,7 @@
 			}
 			peer := newConfigTable(new(invariant.Set))
 			peer.OfferRoster(evacuatedRoster(4, 6).Roster(), now)
-			if in, err := peer.OfferRoster(peer.After(change), now); !in || err != nil {
+			if in, err := peer.OfferRoster(peer.ApplyChange(change), now); !in || err != nil {
 				t.Fatal(in, err)
 			}
 			peer.Offer(1, []byte(rosterDocument))
--- a/blackboard/heard.go
+++ b/blackboard/heard.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// Heard records that the state of this host matches an answer that the platform gave at a time.
-func (t *ConfigTable) Heard(at time.Time) {
+// RecordPlatformAnswer records that the state of this host matches an answer that the platform gave at a time.
+func (t *ConfigTable) RecordPlatformAnswer(at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if at.After(t.platformAnsweredAt) {
@@ -13,9 +13,9 @@
 	}
 }
 
-// Older increases the age of what is known by the time in which the machine was suspended.
+// AddAge increases the age of what is known by the time in which the machine was suspended.
 // Without it a resumed host treated reports of other hosts as if they were fresh.
-func (t *ConfigTable) Older(d time.Duration) {
+func (t *ConfigTable) AddAge(d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, at := range []*time.Time{&t.platformAnsweredAt, &t.reportedAnswerAt} {
@@ -25,10 +25,10 @@
 	}
 }
 
-// Told records that another host with the same state reported an answer that the platform gave
+// RecordReportedAnswer records that another host with the same state reported an answer that the platform gave
 // at a time, to that host or to one from which it received the report.
-func (t *ConfigTable) Told(at time.Time) {
-	t.Heard(at)
+func (t *ConfigTable) RecordReportedAnswer(at time.Time) {
+	t.RecordPlatformAnswer(at)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if at.After(t.reportedAnswerAt) {
@@ -36,23 +36,23 @@
 	}
 }
 
-// ToldWithin reports whether other hosts reported an answer of the platform that is younger
+// ReportedWithin reports whether other hosts reported an answer of the platform that is younger
 // than d.
-func (t *ConfigTable) ToldWithin(now time.Time, d time.Duration) bool {
+func (t *ConfigTable) ReportedWithin(now time.Time, d time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return now.Sub(t.reportedAnswerAt) < d
 }
 
-// HeardFor returns the time since the platform last answered, and whether it ever did.
-func (t *ConfigTable) HeardFor(now time.Time) (ago time.Duration, ever bool) {
+// PlatformSilence returns the time since the platform last answered, and whether it ever did.
+func (t *ConfigTable) PlatformSilence(now time.Time) (ago time.Duration, ever bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return now.Sub(t.platformAnsweredAt), !t.platformAnsweredAt.IsZero()
 }
 
-// HeardWithin reports whether the platform answered within d.
-func (t *ConfigTable) HeardWithin(now time.Time, d time.Duration) bool {
+// PlatformAnsweredWithin reports whether the platform answered within d.
+func (t *ConfigTable) PlatformAnsweredWithin(now time.Time, d time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return !t.platformAnsweredAt.IsZero() && now.Sub(t.platformAnsweredAt) < d
--- a/blackboard/hosts.go
+++ b/blackboard/hosts.go
@@ -17,12 +17,12 @@
 	Region      string
 	Peers       string // address of its net/rpc listener
 	Incarnation uint64
-	Beat        uint64 // number of heartbeats of this incarnation
+	Heartbeat   uint64 // number of heartbeats of this incarnation
 	Leaving     bool
-	Advanced    time.Time // when Beat last rose, by this host's clock
-	Accused     time.Time // when a watcher reported it as gone; zero: none has
-	Doubted     bool      // a call to it failed and no heartbeat arrived since
-	Noted       time.Time // when its incarnation, or that it is leaving, first became known
+	HeartbeatAt time.Time // when Beat last rose, by this host's clock
+	SuspectedAt time.Time // when a watcher reported it as gone; zero: none has
+	Unconfirmed bool      // a call to it failed and no heartbeat arrived since
+	ChangedAt   time.Time // when its incarnation, or that it is leaving, first became known
 }
 
 // HostTable is the membership table. Each process decides for itself which hosts are live, from
@@ -47,8 +47,8 @@
 func (t *HostTable) Tick(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.self.Beat++
-	t.self.Advanced = now
+	t.self.Heartbeat++
+	t.self.HeartbeatAt = now
 }
 
 // SetRound sets the time between exchanges, from which the allowed silence is computed.
@@ -67,8 +67,8 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.self.Leaving = true
-	t.self.Noted = time.Now()
-	t.self.Beat++
+	t.self.ChangedAt = time.Now()
+	t.self.Heartbeat++
 }
 
 // Self returns this host's own row.
@@ -95,7 +95,7 @@
 	cur := t.hosts[h.Number]
 	if cur == nil {
 		row := h
-		row.Advanced, row.Doubted, row.Noted = now, false, now
+		row.HeartbeatAt, row.Unconfirmed, row.ChangedAt = now, false, now
 		t.hosts[h.Number] = &row
 		return true
 	}
@@ -104,15 +104,15 @@
 		cur.Leaving = cur.Leaving || (h.Leaving && cur.Incarnation == 0)
 		return changed
 	}
-	newer := h.Incarnation > cur.Incarnation || h.Incarnation == cur.Incarnation && h.Beat > cur.Beat
+	newer := h.Incarnation > cur.Incarnation || h.Incarnation == cur.Incarnation && h.Heartbeat > cur.Heartbeat
 	if !newer {
 		return false
 	}
-	changed := h.Incarnation != cur.Incarnation || h.Leaving != cur.Leaving || cur.Doubted || !cur.Accused.IsZero()
+	changed := h.Incarnation != cur.Incarnation || h.Leaving != cur.Leaving || cur.Unconfirmed || !cur.SuspectedAt.IsZero()
 	row := h
-	row.Advanced, row.Accused, row.Noted = now, time.Time{}, cur.Noted
+	row.HeartbeatAt, row.SuspectedAt, row.ChangedAt = now, time.Time{}, cur.ChangedAt
 	if h.Incarnation != cur.Incarnation || h.Leaving != cur.Leaving {
-		row.Noted = now
+		row.ChangedAt = now
 	}
 	*cur = row
 	return changed
@@ -128,23 +128,23 @@
 	}
 }
 
-// Doubt records that a call to the host failed. The host is then skipped until its heartbeat
+// MarkUnconfirmed records that a call to the host failed. The host is then skipped until its heartbeat
 // rises again, so that a frozen host costs one timeout instead of one for each request.
-func (t *HostTable) Doubt(number uint32) {
+func (t *HostTable) MarkUnconfirmed(number uint32) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if h := t.hosts[number]; h != nil && number != t.self.Number {
-		h.Doubted = true
+		h.Unconfirmed = true
 	}
 }
 
-// Answered records that a host has just answered a call of this one, which confirms it again.
+// Confirm records that a host has just answered a call of this one, which confirms it again.
 // With many hosts its heartbeat may take long to arrive.
-func (t *HostTable) Answered(number uint32) {
+func (t *HostTable) Confirm(number uint32) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if h := t.hosts[number]; h != nil {
-		h.Doubted = false
+		h.Unconfirmed = false
 	}
 }
 
@@ -155,37 +155,37 @@
 }
 
 func (t *HostTable) live(h *Host, now time.Time) bool {
-	return h.Number == t.self.Number || h.Accused.IsZero() && now.Sub(h.Advanced) <= t.silenceLimit()
+	return h.Number == t.self.Number || h.SuspectedAt.IsZero() && now.Sub(h.HeartbeatAt) <= t.silenceLimit()
 }
 
-// Accuse records that a watcher could not reach a host whose last known heartbeat is beat. A
+// Suspect records that a watcher could not reach a host whose last known heartbeat is beat. A
 // later heartbeat clears the host again; earlier ones that still arrive by way of other hosts
 // don't. It reports whether the host was not suspected before. If this host itself is
 // suspected, its heartbeat jumps past beat, which clears it at the other hosts.
-func (t *HostTable) Accuse(number uint32, incarnation, beat uint64, now time.Time) bool {
+func (t *HostTable) Suspect(number uint32, incarnation, beat uint64, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if number == t.self.Number {
-		if incarnation == t.self.Incarnation && beat >= t.self.Beat {
-			t.self.Beat = beat + 1
+		if incarnation == t.self.Incarnation && beat >= t.self.Heartbeat {
+			t.self.Heartbeat = beat + 1
 		}
 		return false
 	}
 	h := t.hosts[number]
-	if h == nil || h.Incarnation != incarnation || h.Beat > beat || !h.Accused.IsZero() {
+	if h == nil || h.Incarnation != incarnation || h.Heartbeat > beat || !h.SuspectedAt.IsZero() {
 		return false
 	}
-	h.Accused, h.Beat = now, beat
+	h.SuspectedAt, h.Heartbeat = now, beat
 	return true
 }
 
-// Accused returns the hosts that became suspected within the time lately.
-func (t *HostTable) Accused(now time.Time, lately time.Duration) []Host {
+// Suspected returns the hosts that became suspected within the time lately.
+func (t *HostTable) Suspected(now time.Time, lately time.Duration) []Host {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	var out []Host
 	for _, h := range t.hosts {
-		if !h.Accused.IsZero() && now.Sub(h.Accused) < lately {
+		if !h.SuspectedAt.IsZero() && now.Sub(h.SuspectedAt) < lately {
 			out = append(out, *h)
 		}
 	}
@@ -262,18 +262,18 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for n, h := range t.hosts {
-		if n != t.self.Number && now.Sub(h.Advanced) > silence && !listed(n) {
+		if n != t.self.Number && now.Sub(h.HeartbeatAt) > silence && !listed(n) {
 			delete(t.hosts, n)
 		}
 	}
 }
 
-// Renew treats every host as if its heartbeat had just arrived. It is called after a pause of
+// ResetSilence treats every host as if its heartbeat had just arrived. It is called after a pause of
 // this process, in which silence says nothing about the other hosts.
-func (t *HostTable) Renew(now time.Time) {
+func (t *HostTable) ResetSilence(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, h := range t.hosts {
-		h.Advanced, h.Accused = now, time.Time{}
+		h.HeartbeatAt, h.SuspectedAt = now, time.Time{}
 	}
 }
--- a/blackboard/hosts_test.go
+++ b/blackboard/hosts_test.go
@@ -11,7 +11,7 @@
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func hostNamed(name string, inc, beat uint64) Host {
-	return Host{Name: name, Number: request.HostNumber(name), Domain: "a", Incarnation: inc, Beat: beat, Peers: "127.0.0.1:1"}
+	return Host{Name: name, Number: request.HostNumber(name), Domain: "a", Incarnation: inc, Heartbeat: beat, Peers: "127.0.0.1:1"}
 }
 
 func testHosts(names ...string) *HostTable {
@@ -37,9 +37,9 @@
 		{"heartbeat of an old incarnation", func(h *HostTable) { h.Learn(hostNamed("x", 4, 99), start.Add(9*time.Second)) }, false, false},
 		{"restarted", func(h *HostTable) { h.Learn(hostNamed("x", 6, 1), start.Add(9*time.Second)) }, true, true},
 		{"listed by the platform only", func(h *HostTable) { h.Learn(Host{Name: "x", Number: x, Domain: "a"}, start.Add(9*time.Second)) }, false, false},
-		{"unconfirmed: replaced by another", func(h *HostTable) { h.Doubt(x) }, true, false},
+		{"unconfirmed: replaced by another", func(h *HostTable) { h.MarkUnconfirmed(x) }, true, false},
 		{"unconfirmed, then a heartbeat", func(h *HostTable) {
-			h.Doubt(x)
+			h.MarkUnconfirmed(x)
 			h.Learn(hostNamed("x", 5, 20), start.Add(9*time.Second))
 		}, true, true},
 		{"leaving by its own heartbeat", func(h *HostTable) {
@@ -57,15 +57,15 @@
 		}, true, true},
 		{"suspected, then an earlier heartbeat by way of others", func(h *HostTable) {
 			h.Learn(hostNamed("x", 5, 20), start.Add(9*time.Second))
-			h.Accuse(x, 5, 24, start.Add(9*time.Second))
+			h.Suspect(x, 5, 24, start.Add(9*time.Second))
 			h.Learn(hostNamed("x", 5, 23), start.Add(9*time.Second))
 		}, false, false},
 		{"suspected, then a later heartbeat", func(h *HostTable) {
 			h.Learn(hostNamed("x", 5, 20), start.Add(9*time.Second))
-			h.Accuse(x, 5, 24, start.Add(9*time.Second))
+			h.Suspect(x, 5, 24, start.Add(9*time.Second))
 			h.Learn(hostNamed("x", 5, 25), start.Add(9*time.Second))
 		}, true, true},
-		{"this host was paused", func(h *HostTable) { h.Renew(start.Add(9 * time.Second)) }, true, true},
+		{"this host was paused", func(h *HostTable) { h.ResetSilence(start.Add(9 * time.Second)) }, true, true},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -157,13 +157,13 @@
 	h := testHosts("x", "y", "z")
 	for key := range uint64(50) {
 		before, _ := h.First(key, "a", start)
-		steady, _ := h.FirstSteady(key, "a", start)
+		steady, _ := h.FirstStable(key, "a", start)
 		if before.Number != steady.Number {
 			t.Fatalf("key %d: %s serves and %s orders, with no host unconfirmed", key, before.Name, steady.Name)
 		}
 	}
 	members, all := h.Members(start), h.Fingerprint(start)
-	h.Doubt(request.HostNumber("x"))
+	h.MarkUnconfirmed(request.HostNumber("x"))
 	if h.Members(start) != members {
 		t.Error("an unconfirmed host changes the members")
 	}
@@ -175,7 +175,7 @@
 			t.Fatalf("key %d is served by an unconfirmed host", key)
 		}
 	}
-	h.Accuse(request.HostNumber("x"), 5, 1, start)
+	h.Suspect(request.HostNumber("x"), 5, 1, start)
 	if h.Members(start) == members {
 		t.Error("a host that is gone doesn't change the members")
 	}
--- a/blackboard/lapsed.go
+++ b/blackboard/lapsed.go
@@ -13,20 +13,20 @@
 func (t *ConfigTable) expiredSince(known *config.Endpoint, now time.Time) time.Time {
 	switch {
 	case known == nil && t.roster != nil:
-		return now.Add(-2 * config.LapsedKept)
+		return now.Add(-2 * config.ExpiryGrace)
 	case known == nil || known.Lapsed.IsZero():
 		return now
 	}
 	return known.Lapsed
 }
 
-// DropLapsed drops endpoints whose registrations expired longer ago than the grace period, and
+// DropExpired drops endpoints whose registrations expired longer ago than the grace period, and
 // evacuations that were kept for too long without being published again. It returns the number
 // of each.
-func (t *ConfigTable) DropLapsed(now time.Time) (endpoints, evacuations int) {
+func (t *ConfigTable) DropExpired(now time.Time) (endpoints, evacuations int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	dropped := t.expired.Expired(now)
+	dropped := t.expired.PastGrace(now)
 	evacuations = t.kept.expire(now)
 	if len(dropped)+evacuations == 0 {
 		return 0, 0
--- a/blackboard/regions.go
+++ b/blackboard/regions.go
@@ -54,9 +54,9 @@
 	}
 }
 
-// Told returns the summaries that are fresh enough to be forwarded, with their age, and drops
+// Summaries returns the summaries that are fresh enough to be forwarded, with their age, and drops
 // the others.
-func (t *RegionTable) Told(now time.Time) []region.Summary {
+func (t *RegionTable) Summaries(now time.Time) []region.Summary {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []region.Summary
@@ -85,8 +85,8 @@
 	return out
 }
 
-// Trip returns the round-trip time to a region.
-func (t *RegionTable) Trip(number uint32) time.Duration {
+// RoundTrip returns the round-trip time to a region.
+func (t *RegionTable) RoundTrip(number uint32) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if d, measured := t.roundTrips[number]; measured {
@@ -95,8 +95,8 @@
 	return defaultRoundTrip
 }
 
-// Took records a measured round-trip time to a region.
-func (t *RegionTable) Took(number uint32, d time.Duration) {
+// RecordRoundTrip records a measured round-trip time to a region.
+func (t *RegionTable) RecordRoundTrip(number uint32, d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	old, measured := t.roundTrips[number]
@@ -112,44 +112,44 @@
 // a quarter of a second of the half second that it has left.
 const avoidFor = 2 * time.Second
 
-// Missed records that an owner in a region didn't answer.
-func (t *RegionTable) Missed(number uint32, now time.Time) {
+// RecordMiss records that an owner in a region didn't answer.
+func (t *RegionTable) RecordMiss(number uint32, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.avoidUntil[number] = now.Add(avoidFor)
 }
 
-// Quiet reports whether an owner in a region didn't answer within the last quietFor.
-func (t *RegionTable) Quiet(number uint32, now time.Time) bool {
+// Avoided reports whether an owner in a region didn't answer within the last quietFor.
+func (t *RegionTable) Avoided(number uint32, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return now.Before(t.avoidUntil[number])
 }
 
-// Leave counts a request redirected to a region's pool.
-func (t *RegionTable) Leave(number, pool uint32) {
+// CountRedirect counts a request redirected to a region's pool.
+func (t *RegionTable) CountRedirect(number, pool uint32) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.sent[regionPool{number, pool}]++
 	t.redirected[number]++
 }
 
-// Keep counts a request that its region couldn't serve and that was not redirected, by reason.
-func (t *RegionTable) Keep(why region.Verdict) {
+// CountNotRedirected counts a request that its region couldn't serve and that was not redirected, by reason.
+func (t *RegionTable) CountNotRedirected(why region.Verdict) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.notRedirected[why]++
 }
 
-// Left returns the number of requests redirected to a region.
-func (t *RegionTable) Left(number uint32) uint64 {
+// Redirected returns the number of requests redirected to a region.
+func (t *RegionTable) Redirected(number uint32) uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.redirected[number]
 }
 
-// Kept returns the number of requests that were not redirected, by verdict.
-func (t *RegionTable) Kept() [region.VerdictCount]uint64 {
+// NotRedirected returns the number of requests that were not redirected, by verdict.
+func (t *RegionTable) NotRedirected() [region.VerdictCount]uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.notRedirected
--- a/blackboard/regions_test.go
+++ b/blackboard/regions_test.go
@@ -17,7 +17,7 @@
 	table := newRegionTable()
 	table.Learn(region.Summary{Region: 1, Pool: 2, Capacity: 5, AgeMillis: 1000}, now)
 	for range sent {
-		table.Leave(1, 2)
+		table.CountRedirect(1, 2)
 	}
 	for hop := range 100 {
 		table.Learn(region.Summary{Region: 1, Pool: 2, Capacity: 5, AgeMillis: 1000}, now.Add(time.Duration(hop%2+1)*20*time.Millisecond))
--- a/blackboard/restored_test.go
+++ b/blackboard/restored_test.go
@@ -83,7 +83,7 @@
 					t.Fatal(err)
 				}
 			}
-			table.DropLapsed(now.Add(tc.after))
+			table.DropExpired(now.Add(tc.after))
 			v, got := table.View(), ""
 			for _, name := range []string{"a", "b", "c"} {
 				e := v.Endpoint(name)
--- a/blackboard/roster_bench_test.go
+++ b/blackboard/roster_bench_test.go
@@ -35,7 +35,7 @@
 	if _, err := board.Config.OfferRoster(list.Roster(), time.Now()); err != nil {
 		tb.Fatal(err)
 	}
-	board.Endpoints.Fit(board.Config.View())
+	board.Endpoints.ApplyView(board.Config.View())
 	return board
 }
 
@@ -49,7 +49,7 @@
 	if in, err := board.Config.OfferRoster(&r, time.Now()); !in || err != nil {
 		tb.Fatal(in, err)
 	}
-	board.Endpoints.Fit(board.Config.View())
+	board.Endpoints.ApplyView(board.Config.View())
 }
 
 // BenchmarkEndpointChange measures applying a change of one endpoint of a roster up to the routing
--- a/config/change.go
+++ b/config/change.go
@@ -14,8 +14,8 @@
 	Evacuated      []Evacuation // all in force at Revision, changed or not, because they are few
 }
 
-// With applies a change to r and returns the resulting roster.
-func (r *Roster) With(c *RosterChange) *Roster {
+// Apply applies a change to r and returns the resulting roster.
+func (r *Roster) Apply(c *RosterChange) *Roster {
 	out := &Roster{Revision: c.Revision, Endpoints: r.Endpoints, Evacuated: c.Evacuated}
 	for _, name := range c.Gone {
 		out.Endpoints = Remove(out.Endpoints, name)
@@ -48,7 +48,7 @@
 func (r *Roster) List(now time.Time) *RosterList {
 	out := &RosterList{Revision: r.Revision, Evacuated: r.Evacuated, Endpoints: make([]Endpoint, 0, r.Endpoints.Len())}
 	for _, e := range r.Endpoints.All() {
-		out.Endpoints = append(out.Endpoints, e.Told(now))
+		out.Endpoints = append(out.Endpoints, e.WithRelativeColdTime(now))
 	}
 	return out
 }
--- a/config/check.go
+++ b/config/check.go
@@ -216,7 +216,7 @@
 }
 
 func (c *checker) policy(p Policy) {
-	c.oneOf("policy.mode", string(p.Mode), string(ModeOwner), string(ModeLagged), string(ModeShare),
+	c.oneOf("policy.mode", string(p.Mode), string(ModeOwner), string(ModeLeastLoad), string(ModeFixedShare),
 		string(ModeDispatcher), string(ModeRandom), string(ModeRoundRobin), string(ModeTwoChoices))
 	c.oneOf("policy.forecast", string(p.Forecast), string(ForecastHold), string(ForecastPlain), string(ForecastMargin))
 	if p.MarginSD != nil {
--- a/config/check_fleet.go
+++ b/config/check_fleet.go
@@ -106,7 +106,7 @@
 		c.within(f+".step_micros_each", float64(r.StepMicrosEach), 0, 1e8)
 		c.within(f+".cold_per_s", r.ColdPerSecond, 0, 1e6)
 		c.within(f+".cold_start_ms", float64(r.ColdStartMillis), 0, 3_600_000)
-		if r.Engines() {
+		if r.HasEngines() {
 			c.within(f+".link_bytes_per_second", float64(r.LinkBytesPerSecond), 1, 1e15)
 		}
 	}
--- a/config/cold.go
+++ b/config/cold.go
@@ -7,9 +7,9 @@
 // some 100 ms to arrive.
 const ColdUntilTolerance = 500 * time.Millisecond
 
-// Heard converts the relative cold time of a registration that has just arrived to a time of this
+// WithLocalColdTime converts the relative cold time of a registration that has just arrived to a time of this
 // process.
-func (e Endpoint) Heard(now time.Time) Endpoint {
+func (e Endpoint) WithLocalColdTime(now time.Time) Endpoint {
 	e.ColdUntil = time.Time{}
 	if e.ColdMillis > 0 {
 		e.ColdUntil = now.Add(Millis(e.ColdMillis))
@@ -17,9 +17,9 @@
 	return e
 }
 
-// Told converts the time of this process back to a relative cold time, for sending the endpoint to
+// WithRelativeColdTime converts the time of this process back to a relative cold time, for sending the endpoint to
 // another host, whose clock differs.
-func (e Endpoint) Told(now time.Time) Endpoint {
+func (e Endpoint) WithRelativeColdTime(now time.Time) Endpoint {
 	e.ColdMillis = 0
 	if left := e.ColdUntil.Sub(now); left > 0 {
 		e.ColdMillis = int(left/time.Millisecond) + 1
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -62,11 +62,11 @@
 		views[n] = v
 	}
 	d, p := views["domaskra"], views["paranacor"]
-	if d.FullShare() <= p.FullShare() {
-		t.Errorf("full engines: %g and %g, want Dómaskrá to overbook more", d.FullShare(), p.FullShare())
+	if d.FullEngineShare() <= p.FullEngineShare() {
+		t.Errorf("full engines: %g and %g, want Dómaskrá to overbook more", d.FullEngineShare(), p.FullEngineShare())
 	}
-	if d.Patience() != 0 || p.Patience() <= 0 {
-		t.Errorf("patience: %g and %g, want only Paranacor's above 0", d.Patience(), p.Patience())
+	if d.MaxPrefillDelayShare() != 0 || p.MaxPrefillDelayShare() <= 0 {
+		t.Errorf("patience: %g and %g, want only Paranacor's above 0", d.MaxPrefillDelayShare(), p.MaxPrefillDelayShare())
 	}
 }
 
--- a/config/document.go
+++ b/config/document.go
@@ -108,14 +108,14 @@
 	ColdUntil time.Time `json:"-"`
 }
 
-// LapsedKept is the grace period for which an endpoint stays in use after its registration
+// ExpiryGrace is the grace period for which an endpoint stays in use after its registration
 // expired. A live endpoint registers again within two seconds of the platform's return.
-const LapsedKept = 2500 * time.Millisecond
+const ExpiryGrace = 2500 * time.Millisecond
 
-// Expired reports whether the endpoint's registration expired so long ago that the endpoint
+// PastGrace reports whether the endpoint's registration expired so long ago that the endpoint
 // counts as gone.
-func (e *Endpoint) Expired(now time.Time) bool {
-	return !e.Lapsed.IsZero() && now.Sub(e.Lapsed) > LapsedKept
+func (e *Endpoint) PastGrace(now time.Time) bool {
+	return !e.Lapsed.IsZero() && now.Sub(e.Lapsed) > ExpiryGrace
 }
 
 // StartedBefore reports whether e has an earlier start time than another registration of the
@@ -124,8 +124,8 @@
 	return e.Born != 0 && other.Born != 0 && e.Born < other.Born
 }
 
-// PieceTokens returns the number of tokens in one event of the endpoint's streams.
-func (e *Endpoint) PieceTokens() int { return max(1, e.TokensPerPiece) }
+// TokensPerEvent returns the number of tokens in one event of the endpoint's streams.
+func (e *Endpoint) TokensPerEvent() int { return max(1, e.TokensPerPiece) }
 
 // Pool holds the common properties of the endpoints that register themselves under
 // its name. A pool without memory is a pool of plain services.
@@ -144,12 +144,12 @@
 	NotRepeatableAllows bool    `json:"takes_not_repeatable"`
 	ColdPerSecond       float64 `json:"cold_per_s,omitempty"`    // requests to a cold endpoint; 0: no limit
 	ColdStartMillis     int     `json:"cold_start_ms,omitempty"` // time for which an endpoint is cold after a start
-	Copies              bool    `json:"copies,omitempty"`        // endpoints keep replicas of each other's running answers
-	Moves               bool    `json:"moves,omitempty"`         // a running answer can be transferred to another endpoint
+	Replicas            bool    `json:"copies,omitempty"`        // endpoints keep replicas of each other's running answers
+	Transfers           bool    `json:"moves,omitempty"`         // a running answer can be transferred to another endpoint
 }
 
-// Engines reports whether the pool's endpoints are model runners.
-func (p *Pool) Engines() bool { return p.MemoryTokens > 0 }
+// HasEngines reports whether the pool's endpoints are model runners.
+func (p *Pool) HasEngines() bool { return p.MemoryTokens > 0 }
 
 // Route maps requests to the endpoints that may serve them. The first route
 // whose request selector matches is used.
@@ -248,8 +248,8 @@
 // baselines A, B and C of docs/DESIGN.md.
 const (
 	ModeOwner      PolicyMode = "owner"
-	ModeLagged     PolicyMode = "least_load"
-	ModeShare      PolicyMode = "fixed_share"
+	ModeLeastLoad  PolicyMode = "least_load"
+	ModeFixedShare PolicyMode = "fixed_share"
 	ModeDispatcher PolicyMode = "dispatcher"
 	ModeRandom     PolicyMode = "random"
 	ModeRoundRobin PolicyMode = "round_robin"
@@ -258,11 +258,11 @@
 
 // Reserves reports whether the mode reserves decode memory before prefill.
 func (m PolicyMode) Reserves() bool {
-	return m == ModeOwner || m == ModeShare || m == ModeDispatcher
+	return m == ModeOwner || m == ModeFixedShare || m == ModeDispatcher
 }
 
-// Single reports whether the mode's owners don't depend on the endpoint.
-func (m PolicyMode) Single() bool { return m == ModeShare || m == ModeDispatcher }
+// IgnoresEndpoint reports whether the mode's owners don't depend on the endpoint.
+func (m PolicyMode) IgnoresEndpoint() bool { return m == ModeFixedShare || m == ModeDispatcher }
 
 // Forecast is a method of reserving decode memory for the time it is needed.
 type Forecast string
--- a/config/evacuation.go
+++ b/config/evacuation.go
@@ -19,8 +19,8 @@
 	return out
 }
 
-// Emptied reports whether an endpoint's failure domain is evacuated.
-func (v *View) Emptied(e *Endpoint) bool {
+// IsEvacuated reports whether an endpoint's failure domain is evacuated.
+func (v *View) IsEvacuated(e *Endpoint) bool {
 	_, emptied := v.Evacuated[e.Domain]
 	return emptied
 }
--- a/config/position.go
+++ b/config/position.go
@@ -18,17 +18,17 @@
 
 // Maximum values of the parts of a position.
 const (
-	MostEra      = 1<<(64-revisionBits) - 1
-	MostRevision = 1<<revisionBits - 1
+	MaxEra      = 1<<(64-revisionBits) - 1
+	MaxRevision = 1<<revisionBits - 1
 )
 
 // At returns the position of a revision in an era.
 func At(era, revision uint64) (Position, error) {
 	switch {
-	case era > MostEra:
-		return 0, errors.Errorf("era %d: above %d", era, MostEra)
-	case revision > MostRevision:
-		return 0, errors.Errorf("revision %d: above %d", revision, uint64(MostRevision))
+	case era > MaxEra:
+		return 0, errors.Errorf("era %d: above %d", era, MaxEra)
+	case revision > MaxRevision:
+		return 0, errors.Errorf("revision %d: above %d", revision, uint64(MaxRevision))
 	}
 	return Position(era<<revisionBits | revision), nil
 }
@@ -37,7 +37,7 @@
 func (p Position) Era() uint64 { return uint64(p) >> revisionBits }
 
 // Revision returns the revision, which is only meaningful within its era.
-func (p Position) Revision() uint64 { return uint64(p) & MostRevision }
+func (p Position) Revision() uint64 { return uint64(p) & MaxRevision }
 
 // MarshalJSON implements json.Marshaler.
 func (p Position) MarshalJSON() ([]byte, error) {
--- a/config/position_test.go
+++ b/config/position_test.go
@@ -13,11 +13,11 @@
 		text, src     string
 	}{
 		{0, 1, "1", `1`},
-		{0, MostRevision, "281474976710655", `281474976710655`},
+		{0, MaxRevision, "281474976710655", `281474976710655`},
 		{1, 0, "1/0", `"1/0"`},
 		{1, 44, "1/44", `"1/44"`},
 		{2, 3, "2/3", `"2/3"`},
-		{MostEra, MostRevision, "65535/281474976710655", `"65535/281474976710655"`},
+		{MaxEra, MaxRevision, "65535/281474976710655", `"65535/281474976710655"`},
 	} {
 		p, err := At(tc.era, tc.revision)
 		if err != nil || p <= before || p.Era() != tc.era || p.Revision() != tc.revision || p.String() != tc.text {
@@ -33,10 +33,10 @@
 		}
 		before = p
 	}
-	if _, err := At(MostEra+1, 0); err == nil {
+	if _, err := At(MaxEra+1, 0); err == nil {
 		t.Error("an era above the maximum is accepted")
 	}
-	if _, err := At(0, MostRevision+1); err == nil {
+	if _, err := At(0, MaxRevision+1); err == nil {
 		t.Error("a revision above the maximum is accepted")
 	}
 	for _, src := range []string{`""`, `"1/"`, `"/1"`, `"x"`, `-1`, `"1/2/3"`, `281474976710656`, `"65536/1"`} {
--- a/config/region.go
+++ b/config/region.go
@@ -53,10 +53,10 @@
 	return s
 }
 
-// Homes returns the regions in which a team's requests on a route may be served, cached and
+// AllowedRegions returns the regions in which a team's requests on a route may be served, cached and
 // stored; 0: any. If both the route and the team name regions, only those named by both are
 // allowed.
-func (v *View) Homes(r *Route, t *Team) Regions {
+func (v *View) AllowedRegions(r *Route, t *Team) Regions {
 	var allowed Regions
 	for _, names := range [][]string{r.Regions, t.Regions} {
 		if len(names) == 0 {
--- a/config/region_test.go
+++ b/config/region_test.go
@@ -27,7 +27,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			allowed := v.Homes(&v.Doc.Routes[0], v.Teams["t"])
+			allowed := v.AllowedRegions(&v.Doc.Routes[0], v.Teams["t"])
 			if (allowed == 0) != (tc.want == "") {
 				t.Fatalf("allowed regions %b, want %q", allowed, tc.want)
 			}
--- a/config/roster.go
+++ b/config/roster.go
@@ -79,12 +79,12 @@
 	Evacuated []Evacuation // at most one per failure domain, also of domains not in the document
 }
 
-// Lapsed tracks the endpoints of a roster whose registrations have expired. The zero value is
+// ExpiredEndpoints tracks the endpoints of a roster whose registrations have expired. The zero value is
 // empty.
-type Lapsed struct{ byNumber map[uint32]*Endpoint }
+type ExpiredEndpoints struct{ byNumber map[uint32]*Endpoint }
 
 // Note records the new endpoint of a number, or nil if it was removed.
-func (l *Lapsed) Note(number uint32, now *Endpoint) {
+func (l *ExpiredEndpoints) Note(number uint32, now *Endpoint) {
 	if now == nil || now.Lapsed.IsZero() {
 		delete(l.byNumber, number)
 		return
@@ -96,12 +96,12 @@
 }
 
 // All returns the endpoints.
-func (l *Lapsed) All() []*Endpoint { return slices.Collect(maps.Values(l.byNumber)) }
+func (l *ExpiredEndpoints) All() []*Endpoint { return slices.Collect(maps.Values(l.byNumber)) }
 
-// Expired returns the endpoints that count as gone.
-func (l *Lapsed) Expired(now time.Time) (out []*Endpoint) {
+// PastGrace returns the endpoints that count as gone.
+func (l *ExpiredEndpoints) PastGrace(now time.Time) (out []*Endpoint) {
 	for _, e := range l.byNumber {
-		if e.Expired(now) {
+		if e.PastGrace(now) {
 			out = append(out, e)
 		}
 	}
@@ -267,11 +267,11 @@
 		e.ColdPerSecond = p.ColdPerSecond
 	}
 	e.NotRepeatableAllows = e.NotRepeatableAllows || p.NotRepeatableAllows
-	e.GrowsMemory = p.Engines()
+	e.GrowsMemory = p.HasEngines()
 }
 
-// Differing calls f for each endpoint that differs between two views of one layout, with its
+// EachDifference calls f for each endpoint that differs between two views of one layout, with its
 // number and the later view's endpoint, which is nil if the endpoint was removed.
-func Differing(old, now *View, f func(number uint32, e *Endpoint)) {
+func EachDifference(old, now *View, f func(number uint32, e *Endpoint)) {
 	trie.Diff(old.Endpoints, now.Endpoints, func(number uint32, _, e *Endpoint) { f(number, e) })
 }
--- a/config/settings.go
+++ b/config/settings.go
@@ -142,8 +142,8 @@
 	}
 }
 
-// PeersAt returns the address at which other hosts reach this one.
-func (s *Settings) PeersAt() string {
+// PeersAddress returns the address at which other hosts reach this one.
+func (s *Settings) PeersAddress() string {
 	if s.PeersAnnounced != "" {
 		return s.PeersAnnounced
 	}
--- a/config/team.go
+++ b/config/team.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// Keyed reports whether any team has keys, so that callers need one.
-func (v *View) Keyed() bool { return len(v.teamByKey) > 0 }
+// HasKeys reports whether any team has keys, so that callers need one.
+func (v *View) HasKeys() bool { return len(v.teamByKey) > 0 }
 
 // TeamOfKey returns the team that holds a key, or nil.
 func (v *View) TeamOfKey(key string) *Team { return v.teamByKey[sha256.Sum256([]byte(key))] }
--- a/config/view.go
+++ b/config/view.go
@@ -171,9 +171,9 @@
 	return nil
 }
 
-// Draw returns one of the route's shares, chosen by weight with a uniformly distributed number.
+// PickShare returns one of the route's shares, chosen by weight with a uniformly distributed number.
 // A route with selectors has no shares and returns nil.
-func (r *RouteView) Draw(n uint64) *Share {
+func (r *RouteView) PickShare(n uint64) *Share {
 	sum := 0
 	for i := range r.Shares {
 		sum += r.Shares[i].Weight
@@ -197,8 +197,8 @@
 	return &r.Shares[0]
 }
 
-// Reaches reports whether the route sends requests to a pool.
-func (r *RouteView) Reaches(pool string) bool {
+// SendsTo reports whether the route sends requests to a pool.
+func (r *RouteView) SendsTo(pool string) bool {
 	return slices.ContainsFunc(r.Shares, func(s Share) bool { return s.Pool.Name == pool })
 }
 
@@ -218,10 +218,10 @@
 	return ""
 }
 
-// FullShare returns the target share of reservations that find the engine still full on arrival.
+// FullEngineShare returns the target share of reservations that find the engine still full on arrival.
 // Owners learn the margin that leads to it. It rises with the weight of goodput, which
 // overbooking increases, and falls with the weight of wasted prefill.
-func (v *View) FullShare() float64 {
+func (v *View) FullEngineShare() float64 {
 	w := v.Doc.Weights
 	return minFullShare + fullShareRange*w.Goodput/(w.Goodput+w.WastedPrefill)
 }
@@ -231,10 +231,10 @@
 	fullShareRange = 0.10
 )
 
-// Patience returns the share of a request's slack by which its prefill may be delayed while many
+// MaxPrefillDelayShare returns the share of a request's slack by which its prefill may be delayed while many
 // callers leave early, to save prefill work for them. It is 0 unless wasted prefill weighs more
 // than goodput.
-func (v *View) Patience() float64 {
+func (v *View) MaxPrefillDelayShare() float64 {
 	w := v.Doc.Weights
 	return maxPatience * max(0, w.WastedPrefill-w.Goodput) / (w.Goodput + w.WastedPrefill)
 }
--- a/entry/away.go
+++ b/entry/away.go
@@ -96,14 +96,14 @@
 	j.regionLog = describeChoice(found, verdicts, to)
 	if to < 0 {
 		for _, v := range verdicts {
-			e.board.Regions.Keep(v)
+			e.board.Regions.CountNotRedirected(v)
 		}
 		return false
 	}
 	e.returnToLocalRegion(j)
 	c := &found[to]
 	j.redirect = redirect{region: c.name, local: j.criteria.Region, detour: c.Detour}
-	e.board.Regions.Leave(config.NameNumber(c.name), c.pool)
+	e.board.Regions.CountRedirect(config.NameNumber(c.name), c.pool)
 	j.criteria.Region = c.set
 	return true
 }
@@ -185,11 +185,11 @@
 	}
 	number := config.NameNumber(c.name)
 	c.RemoteRegion = b.Regions.Find(number, c.pool, r.Now)
-	if b.Regions.Quiet(number, r.Now) {
+	if b.Regions.Avoided(number, r.Now) {
 		open = 0
 	}
 	c.EligibleEndpoints, c.Allowed = open, r.AllowedRegions == 0 || r.AllowedRegions.Has(c.set)
-	c.Detour = time.Duration(trips) * b.Regions.Trip(number)
+	c.Detour = time.Duration(trips) * b.Regions.RoundTrip(number)
 }
 
 // countRequesters computes for each region how many hosts compete for its capacity: those
--- a/entry/away_state_test.go
+++ b/entry/away_state_test.go
@@ -70,7 +70,7 @@
 		if _, err := e.place(t.Context(), j); err == nil {
 			t.Error("placed without a slot")
 		}
-		if left := s.board.Regions.Left(config.NameNumber("s")); left != 0 || len(s.enqueued) != 1 {
+		if left := s.board.Regions.Redirected(config.NameNumber("s")); left != 0 || len(s.enqueued) != 1 {
 			t.Errorf("redirected %d times, requested slots %v; want one request", left, s.enqueued)
 		}
 	})
@@ -135,7 +135,7 @@
 	now := time.Now()
 	for i := range 350 {
 		name := fmt.Sprintf("h%d", i)
-		e.board.Hosts.Learn(blackboard.Host{Name: name, Number: request.HostNumber(name), Domain: "a", Region: "r", Incarnation: 1, Beat: 1}, now)
+		e.board.Hosts.Learn(blackboard.Host{Name: name, Number: request.HostNumber(name), Domain: "a", Region: "r", Incarnation: 1, Heartbeat: 1}, now)
 	}
 	n := e.remoteNeed(j, result.TooLate)
 	if got := testing.AllocsPerRun(10, func() { e.placeRemote(t.Context(), j, n, maxRemoteRegions, j.localRegions()) }); got > 0 {
--- a/entry/away_test.go
+++ b/entry/away_test.go
@@ -65,7 +65,7 @@
 		}, "north"},
 		{"too slow locally, little time left", func(s *scene) { slow(400 * ms)(s); s.j.arrived = time.Now().Add(-220 * ms) }, "north"},
 		{"no local endpoint, too late in any case", func(s *scene) { leave(s); s.j.arrived, s.j.deadline = time.Now().Add(-time.Second), 3*time.Second }, "south"},
-		{"no local endpoint, the owner in the south is unreachable", func(s *scene) { leave(s); s.b.Regions.Missed(south, time.Now()) }, ""},
+		{"no local endpoint, the owner in the south is unreachable", func(s *scene) { leave(s); s.b.Regions.RecordMiss(south, time.Now()) }, ""},
 		{"no local endpoint, its allowed regions are elsewhere", func(s *scene) { leave(s); s.j.headers.team = s.j.view.Teams["t"] }, ""},
 	}
 	for _, tc := range cases {
@@ -85,14 +85,14 @@
 				t.Fatal(err)
 			}
 			v, now := b.Config.View(), time.Now()
-			b.Endpoints.Fit(v)
+			b.Endpoints.ApplyView(v)
 			for _, d := range v.Doc.Domains {
-				b.Hosts.Learn(blackboard.Host{Name: d.Name, Number: request.HostNumber(d.Name), Domain: d.Name, Region: d.Region, Incarnation: 1, Beat: 1}, now)
+				b.Hosts.Learn(blackboard.Host{Name: d.Name, Number: request.HostNumber(d.Name), Domain: d.Name, Region: d.Region, Incarnation: 1, Heartbeat: 1}, now)
 			}
 			pool := region.PoolNumber("web", "")
 			b.Regions.Learn(region.Summary{Region: south, Pool: pool, Capacity: 5, WaitMillis: 60}, now)
 			b.Regions.Learn(region.Summary{Region: west, Pool: pool, Capacity: 50, WaitMillis: 10}, now) // it has no endpoints any more
-			b.Regions.Took(south, 16*ms)
+			b.Regions.RecordRoundTrip(south, 16*ms)
 			e := &Entry{board: b}
 			j := &job{headers: headers{team: defaultTeam}, view: v, route: v.RouteFor("h", "/x"), pool: "web", tries: 1, arrived: now,
 				criteria: route.Request{EntryDomain: v.DomainIndex("a"), Region: v.RegionSet("north")}}
--- a/entry/barred.go
+++ b/entry/barred.go
@@ -51,7 +51,7 @@
 	if team == nil {
 		team = j.team
 	}
-	r.AllowedRegions, r.RemoteRegions = v.Homes(rv.Route, team), 0
+	r.AllowedRegions, r.RemoteRegions = v.AllowedRegions(rv.Route, team), 0
 	if r.AllowedRegions != 0 && !r.AllowedRegions.Has(r.Region) {
 		r.RemoteRegions = r.AllowedRegions
 	}
@@ -93,7 +93,7 @@
 // call.
 func (e *Entry) admitCall(j *job, spec *config.Endpoint) *retryable {
 	b := e.barFor(j, spec)
-	if b == route.ReasonNone && !e.board.Endpoints.Admit(route.Number(spec.Name), time.Now()) {
+	if b == route.ReasonNone && !e.board.Endpoints.AdmitCall(route.Number(spec.Name), time.Now()) {
 		b = route.ReasonBackoff
 	}
 	if b == route.ReasonNone {
@@ -202,10 +202,10 @@
 	if p.promptCached || kv == nil {
 		// The prompt is cached there or would be prefilled there: all endpoints are chosen
 		// anew.
-		e.releaseDecode(j, p, owner.GivenUp)
+		e.releaseDecode(j, p, owner.Abandoned)
 		return barredFailure(p.decodeSpec, b)
 	}
-	e.moveDecode(ctx, j, p, owner.GivenUp, true)
+	e.moveDecode(ctx, j, p, owner.Abandoned, true)
 	if p.decodeSpec == nil && b == route.ReasonProbe {
 		e.recheckDecode(ctx, j, p, expires)
 	}
--- a/entry/call.go
+++ b/entry/call.go
@@ -152,9 +152,9 @@
 	if c.Left > 0 {
 		j.work.Until = clock.Now().Add(c.Left)
 	}
-	share := r.Draw(j.criteria.Seed >> 32)
+	share := r.PickShare(j.criteria.Seed >> 32)
 	j.pool = share.Pool.Name
-	j.prompted = share.Pool.Engines()
+	j.prompted = share.Pool.HasEngines()
 	if p := c.Prompt; p != nil && j.prompted {
 		j.tokens, j.expected = max(1, p.Tokens), p.Expected
 		j.work.Model, j.work.MaxTokens = p.Model, max(1, p.MaxAnswer)
@@ -174,11 +174,11 @@
 	if r == nil {
 		return nil
 	}
-	if j.pool == "" || r.Reaches(j.pool) {
+	if j.pool == "" || r.SendsTo(j.pool) {
 		return fleet.Group(r, j.pool)
 	}
-	share := r.Draw(j.criteria.Seed >> 32)
-	if share == nil || share.Pool.Engines() != j.prompted {
+	share := r.PickShare(j.criteria.Seed >> 32)
+	if share == nil || share.Pool.HasEngines() != j.prompted {
 		return nil
 	}
 	j.pool = share.Pool.Name
--- a/entry/copy.go
+++ b/entry/copy.go
@@ -83,7 +83,7 @@
 		v := fleet.View
 		g, pool := j.group(fleet), v.Pools[p.decodeSpec.Pool]
 		engine := fleet.Find(number)
-		if g == nil || pool == nil || !pool.Copies || engine == nil {
+		if g == nil || pool == nil || !pool.Replicas || engine == nil {
 			return
 		}
 		e.bindRegions(v, j, &q)
@@ -115,7 +115,7 @@
 	if p.replica == nil {
 		return
 	}
-	e.owners.Release(p.replica.spec, owner.Release{Attempt: p.replica.attempt, Endpoint: route.Number(p.replica.spec.Name), Outcome: owner.GivenUp})
+	e.owners.Release(p.replica.spec, owner.Release{Attempt: p.replica.attempt, Endpoint: route.Number(p.replica.spec.Name), Outcome: owner.Abandoned})
 	e.board.Requests.Close(p.replica.attempt)
 	p.replica = nil
 }
@@ -138,7 +138,7 @@
 	switch {
 	case next == nil:
 		e.Copies.TakenUp.Add(1)
-		e.releaseDecode(j, p, owner.GivenUp) // part of an answer says nothing of the length of whole ones
+		e.releaseDecode(j, p, owner.Abandoned) // part of an answer says nothing of the length of whole ones
 		j.dropLastFailure()
 		return nil
 	case endpoint.MayHaveRun(next):
@@ -147,7 +147,7 @@
 	}
 	e.Copies.Gone.Add(1)
 	e.logReplica(j, "no copy to go on from", first.decodeSpec, c.spec)
-	e.releaseDecode(j, p, owner.GivenUp)
+	e.releaseDecode(j, p, owner.Abandoned)
 	p.decodeSpec, p.decodeAttempt = first.decodeSpec, first.decodeAttempt
 	return err
 }
--- a/entry/emptied_test.go
+++ b/entry/emptied_test.go
@@ -71,7 +71,7 @@
 			t.Fatal(err)
 		}
 		v := b.Config.View()
-		b.Endpoints.Fit(v)
+		b.Endpoints.ApplyView(v)
 		owners := &evacuatingOwners{domain: "a"}
 		e := New(b, endpoint.NewClient(nil), owners, report.NewRecorder(), zap.NewNop())
 		j := promptedJob(e, v, defaultTeam)
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -38,7 +38,7 @@
 	Trial(ctx context.Context, a quarantine.Ask) quarantine.Reply
 	TrialDone(f request.Fingerprint, holder uint64, settled bool)
 	TellMarks(rows []quarantine.Row)
-	Heard(spec *config.Endpoint, w pace.Report)
+	ReceiveLimit(spec *config.Endpoint, w pace.Report)
 }
 
 // Entry serves callers. Use New.
--- a/entry/heard.go
+++ b/entry/heard.go
@@ -60,9 +60,9 @@
 	case s.Unreadable != "":
 		e.recordUnreadable(&e.Heard.BadLimits, "endpoint names a limit that can't be read", spec, s.Unreadable)
 	case s.Named:
-		e.owners.Heard(spec, pace.Report{Named: true, PerSecond: s.PerSecond, At: clock.Now(), Born: spec.Born})
+		e.owners.ReceiveLimit(spec, pace.Report{Named: true, PerSecond: s.PerSecond, At: clock.Now(), Born: spec.Born})
 	case n.Certain:
-		e.owners.Heard(spec, pace.Report{At: sent, Born: spec.Born})
+		e.owners.ReceiveLimit(spec, pace.Report{At: sent, Born: spec.Born})
 	}
 }
 
@@ -72,7 +72,7 @@
 	if n.UnreadableRest != "" {
 		e.recordUnreadable(&e.Heard.BadRests, "endpoint asks for a rest that can't be read", spec, n.UnreadableRest)
 	}
-	c := e.board.Endpoints.Notice(route.Number(spec.Name), route.Notice{Leaving: n.Leaving, Backoff: n.Rest, Started: spec.Born, CalledAt: sent, ReceivedAt: time.Now()})
+	c := e.board.Endpoints.ObserveNotice(route.Number(spec.Name), route.Notice{Leaving: n.Leaving, Backoff: n.Rest, Started: spec.Born, CalledAt: sent, ReceivedAt: time.Now()})
 	if c.NewlyLeaving {
 		e.log.Info("endpoint says that it leaves", zap.String("endpoint", spec.Name), zap.String("address", spec.Address))
 	}
--- a/entry/homes_test.go
+++ b/entry/homes_test.go
@@ -41,7 +41,7 @@
 	if _, err := s.board.Config.Offer(revision, fmt.Appendf(nil, homesDocument, routeRegions, teamRegions)); err != nil {
 		s.t.Fatal(err)
 	}
-	s.board.Endpoints.Fit(s.board.Config.View())
+	s.board.Endpoints.ApplyView(s.board.Config.View())
 }
 
 // runTwoRegions runs one request of team t, and returns its refusal and its calls.
--- a/entry/job.go
+++ b/entry/job.go
@@ -130,7 +130,7 @@
 
 // newJob returns a job of a route; the caller sets what it asks for.
 func (e *Entry) newJob(v *config.View, r *config.RouteView, hd headers) *job {
-	j := &job{headers: hd, id: e.board.NextID(), view: v, route: r, arrived: time.Now(), teamNumber: config.NameNumber(hd.team.Name)}
+	j := &job{headers: hd, id: e.board.NewRequestID(), view: v, route: r, arrived: time.Now(), teamNumber: config.NameNumber(hd.team.Name)}
 	j.criteria = route.Request{Hosts: e.board.Hosts.Len(), EntryDomain: v.DomainIndex(e.board.Settings.Domain), Region: v.RegionSet(e.board.Settings.Region),
 		Seed: e.sequence.Add(1)<<32 ^ uint64(e.board.Number)}
 	return j
--- a/entry/leaving_test.go
+++ b/entry/leaving_test.go
@@ -66,7 +66,7 @@
 	if _, err := s.board.Config.OfferRoster(roster.Roster(), time.Now()); err != nil {
 		s.t.Fatal(err)
 	}
-	s.board.Endpoints.Fit(s.board.Config.View())
+	s.board.Endpoints.ApplyView(s.board.Config.View())
 }
 
 // domain returns the failure domain of an endpoint.
--- a/entry/likely_test.go
+++ b/entry/likely_test.go
@@ -58,7 +58,7 @@
 					t.Fatal(err)
 				}
 				v := b.Config.View()
-				b.Endpoints.Fit(v)
+				b.Endpoints.ApplyView(v)
 				b.Endpoints.Learn(route.Digest{Number: route.Number("d"), SlowPct: tc.slow}, time.Now())
 				if tc.leaving >= 0 {
 					b.SetLeaving()
--- a/entry/limited_test.go
+++ b/entry/limited_test.go
@@ -38,7 +38,7 @@
 	if _, err := b.Config.OfferRoster(roster.Roster(), time.Now()); err != nil {
 		t.Fatal(err)
 	}
-	b.Endpoints.Fit(b.Config.View())
+	b.Endpoints.ApplyView(b.Config.View())
 	return b
 }
 
@@ -61,7 +61,7 @@
 				b := serviceBoard(t, endpoints)
 				v := b.Config.View()
 				for i := range endpoints {
-					b.Endpoints.Hear(route.Number(fmt.Sprint("s", i)), clock.Now(), pace.Report{Named: true, PerSecond: 1, At: clock.Now()})
+					b.Endpoints.ObserveLimit(route.Number(fmt.Sprint("s", i)), clock.Now(), pace.Report{Named: true, PerSecond: 1, At: clock.Now()})
 				}
 				s := &coldScene{leavingScene: &leavingScene{t: t, board: b}}
 				for range tc.without {
--- a/entry/place.go
+++ b/entry/place.go
@@ -154,7 +154,7 @@
 			} else {
 				asks++
 			}
-			if j.redirected() && e.board.Regions.Quiet(config.NameNumber(j.redirect.region), time.Now()) {
+			if j.redirected() && e.board.Regions.Avoided(config.NameNumber(j.redirect.region), time.Now()) {
 				break
 			}
 			continue
--- a/entry/place_test.go
+++ b/entry/place_test.go
@@ -85,7 +85,7 @@
 }
 func (s *stubOwners) TrialDone(request.Fingerprint, uint64, bool) {}
 func (s *stubOwners) TellMarks([]quarantine.Row)                  {}
-func (s *stubOwners) Heard(*config.Endpoint, pace.Report)         {}
+func (s *stubOwners) ReceiveLimit(*config.Endpoint, pace.Report)  {}
 
 func (s *stubOwners) Start(context.Context, *config.Endpoint, peer.StartAsk) peer.Start {
 	return peer.Start{Given: true, Until: time.Now().Add(time.Second)}
@@ -158,7 +158,7 @@
 		t.Fatal(err)
 	}
 	v := b.Config.View()
-	b.Endpoints.Fit(v)
+	b.Endpoints.ApplyView(v)
 	e := New(b, endpoint.NewClient(nil), stub, report.NewRecorder(), zap.NewNop())
 	j := promptedJob(e, v, defaultTeam)
 	j.reply = &passthrough{}
--- a/entry/read.go
+++ b/entry/read.go
@@ -130,11 +130,11 @@
 	}
 	now := time.Now()
 	number := route.Number(spec.Name)
-	e.board.Endpoints.Touch(number, func(s *route.State) { s.Calls.Record(now, sight, took) })
+	e.board.Endpoints.Update(number, func(s *route.State) { s.Calls.Record(now, sight, took) })
 	switch {
-	case endpoint.Answered(err) && e.board.Heard(spec.Domain):
+	case endpoint.Answered(err) && e.board.RecordAnswer(spec.Domain):
 		e.log.Info("failure domain back", zap.String("domain", spec.Domain), zap.String("heard", spec.Name))
-	case endpoint.Silent(err) && e.board.Missed(spec.Domain, number, now):
+	case endpoint.Silent(err) && e.board.RecordMiss(spec.Domain, number, now):
 		e.log.Warn("failure domain cut off", zap.String("domain", spec.Domain), zap.String("silent", spec.Name))
 	}
 }
@@ -176,7 +176,7 @@
 	case err == nil:
 		return owner.Done
 	case ctx.Err() != nil:
-		return owner.Left
+		return owner.CallerLeft
 	case endpoint.MayHaveRun(err), endpoint.Unreachable(err):
 		return owner.Failed
 	}
@@ -212,7 +212,7 @@
 // discardResult drops an unused prefill result and releases the decode reservation.
 func (e *Entry) discardResult(j *job, p *plan, kv *endpoint.Transfer) {
 	e.dropResult(j, p, kv)
-	e.releaseDecode(j, p, owner.GivenUp)
+	e.releaseDecode(j, p, owner.Abandoned)
 }
 
 // dropResult makes the prefill engine free a result. It doesn't wait; if the call is lost,
--- a/entry/relay.go
+++ b/entry/relay.go
@@ -94,7 +94,7 @@
 		e.retryTimes.Learn(j.pool, took)
 	}
 	e.owners.Release(p.decodeSpec, owner.Release{Attempt: p.decodeAttempt, Endpoint: route.Number(p.decodeSpec.Name), Outcome: outcomeOf(ctx, err),
-		Waited: p.decodeWasFull, Answer: chunks * p.decodeSpec.PieceTokens(), Max: j.work.MaxTokens, Expected: j.expected, Millis: ms(took)})
+		Waited: p.decodeWasFull, Answer: chunks * p.decodeSpec.TokensPerEvent(), Max: j.work.MaxTokens, Expected: j.expected, Millis: ms(took)})
 }
 
 // firstStallLimit returns how long an engine may take to write its first chunk. Timing out
@@ -117,7 +117,7 @@
 	if !e.traits.HangUpAborts {
 		return tokenStall
 	}
-	return copies.SilenceLimit(time.Duration(p.decodeSpec.PieceTokens()) * e.typicalStep(j))
+	return copies.SilenceLimit(time.Duration(p.decodeSpec.TokensPerEvent()) * e.typicalStep(j))
 }
 
 // maxSilence returns how long an engine that is alive may be silent. If the answer may not
--- a/entry/reserve.go
+++ b/entry/reserve.go
@@ -68,7 +68,7 @@
 	reply, err := e.owners.Reserve(ctx, p.decodeSpec, a)
 	switch {
 	case err != nil && ctx.Err() != nil:
-		e.releaseDecode(j, p, owner.GivenUp)
+		e.releaseDecode(j, p, owner.Abandoned)
 		return asResult(ctx.Err())
 	case err != nil: // the owner is unreachable: the engine's own admission decides
 		p.transferStart = now.Add(prefillIn)
@@ -79,7 +79,7 @@
 	}
 	p.reserved, p.transferStart = true, now.Add(time.Duration(reply.InMillis)*time.Millisecond)
 	if refusal := e.acquireDecodePermit(ctx, j, p, prefillIn); refusal != nil {
-		e.releaseDecode(j, p, owner.GivenUp)
+		e.releaseDecode(j, p, owner.Abandoned)
 		return refusal
 	}
 	return nil
--- a/entry/resting_test.go
+++ b/entry/resting_test.go
@@ -36,7 +36,7 @@
 				b := serviceBoard(t, len(tc.rests))
 				v := b.Config.View()
 				for i, rest := range tc.rests {
-					b.Endpoints.Notice(route.Number(fmt.Sprint("s", i)), route.Notice{Leaving: rest == leaves, Backoff: max(0, rest), ReceivedAt: time.Now()})
+					b.Endpoints.ObserveNotice(route.Number(fmt.Sprint("s", i)), route.Notice{Leaving: rest == leaves, Backoff: max(0, rest), ReceivedAt: time.Now()})
 				}
 				s := &coldScene{leavingScene: &leavingScene{t: t, board: b}}
 				e := New(b, serviceEngine{s}, s, report.NewRecorder(), zap.NewNop())
--- a/entry/run.go
+++ b/entry/run.go
@@ -155,17 +155,17 @@
 	}
 	if !wait.For(ctx, p.prefillDelay()) {
 		e.releasePrefill(p)
-		e.releaseDecode(j, p, owner.GivenUp)
+		e.releaseDecode(j, p, owner.Abandoned)
 		return asResult(ctx.Err())
 	}
 	if b := e.barFor(j, p.prefillSpec); b != route.ReasonNone {
 		e.releasePrefill(p)
-		e.releaseDecode(j, p, owner.GivenUp)
+		e.releaseDecode(j, p, owner.Abandoned)
 		return barredFailure(p.prefillSpec, b)
 	}
 	kv, err := e.prefill(ctx, j, p)
 	if err != nil {
-		e.releaseDecode(j, p, owner.GivenUp)
+		e.releaseDecode(j, p, owner.Abandoned)
 		return err
 	}
 	j.markPhase(2)
--- a/entry/service_test.go
+++ b/entry/service_test.go
@@ -58,7 +58,7 @@
 				t.Fatal(err)
 			}
 			v := b.Config.View()
-			b.Endpoints.Fit(v)
+			b.Endpoints.ApplyView(v)
 			b.Endpoints.Read(func(fleet *route.Fleet) { tc.see(statesOf(fleet)) })
 			e := &Entry{board: b}
 			j := &job{headers: headers{team: defaultTeam}, view: v, route: v.RouteFor("h", "/x"), pool: "web", tries: tc.tries,
--- a/entry/start.go
+++ b/entry/start.go
@@ -121,7 +121,7 @@
 // that long, and returns the refusal.
 func (e *Entry) noPermit(j *job, spec *config.Endpoint, b route.Reason, s peer.Start, wait time.Duration) *retryable {
 	now := time.Now()
-	e.board.Endpoints.Touch(route.Number(spec.Name), func(st *route.State) {
+	e.board.Endpoints.Update(route.Number(spec.Name), func(st *route.State) {
 		st.NoPermitUntil, st.RetryAt = now.Add(max(minPermitRetry, s.In-wait)), now.Add(max(s.In, s.Back))
 	})
 	e.Unstarted.Add(1)
@@ -189,7 +189,7 @@
 		return time.Second
 	}
 	retryAfter = min(max(retryAfter, 0), maxPermitRetryAfter)
-	e.board.Endpoints.Touch(soonest, func(s *route.State) {
+	e.board.Endpoints.Update(soonest, func(s *route.State) {
 		if w := s.Limit.Report(); w.Named {
 			s.RetryAt = now.Add(retryAfter + time.Duration(float64(time.Second)/max(w.PerSecond, 1/maxPermitRetryAfter.Seconds())))
 		}
--- a/entry/start_test.go
+++ b/entry/start_test.go
@@ -89,7 +89,7 @@
 				s.publish()
 				if !tc.warm {
 					for _, name := range []string{"p1", "p2", "d1", "d2"} {
-						b.Endpoints.Touch(route.Number(name), func(st *route.State) { st.MaybeColdUntil = time.Now().Add(time.Hour) })
+						b.Endpoints.Update(route.Number(name), func(st *route.State) { st.MaybeColdUntil = time.Now().Add(time.Hour) })
 					}
 				}
 				e := New(b, s, s, report.NewRecorder(), zap.NewNop())
@@ -136,7 +136,7 @@
 		s := &coldScene{leavingScene: &leavingScene{t: t, board: b, hasLeft: map[string]bool{}}}
 		s.publish()
 		for _, name := range []string{"d1", "d2"} {
-			b.Endpoints.Touch(route.Number(name), func(st *route.State) {
+			b.Endpoints.Update(route.Number(name), func(st *route.State) {
 				st.DigestAt, st.Digest.FreeTokens, st.Digest.FreeSlots = time.Now(), int32(st.Spec.MemoryTokens), 64
 				if name == "d1" {
 					st.MaybeColdUntil = time.Now().Add(time.Hour)
@@ -184,7 +184,7 @@
 				s := &coldScene{leavingScene: &leavingScene{t: t, board: b, hasLeft: map[string]bool{}, leaveAt: map[string]bool{}}, permits: tc.script, permitsBefore: tc.before}
 				s.publish()
 				for _, name := range []string{"p1", "p2", "d1", "d2"} {
-					b.Endpoints.Touch(route.Number(name), func(st *route.State) { st.MaybeColdUntil = time.Now().Add(time.Hour) })
+					b.Endpoints.Update(route.Number(name), func(st *route.State) { st.MaybeColdUntil = time.Now().Add(time.Hour) })
 				}
 				s.leaveAt[atPermit] = true
 				e := New(b, s, s, report.NewRecorder(), zap.NewNop())
@@ -242,7 +242,7 @@
 					t.Fatal(err)
 				}
 				v := b.Config.View()
-				b.Endpoints.Fit(v)
+				b.Endpoints.ApplyView(v)
 				s := &coldScene{leavingScene: &leavingScene{t: t, board: b}, permits: tc.script}
 				e := New(b, serviceEngine{s}, s, report.NewRecorder(), zap.NewNop())
 				j := e.newJob(v, v.RouteFor("h", "/x"), headers{team: defaultTeam})
--- a/entry/team.go
+++ b/entry/team.go
@@ -30,7 +30,7 @@
 
 // callTeam returns the team of a call whose protocol identifies teams only by key.
 func callTeam(v *config.View, r *config.RouteView, keys []string) (*config.Team, *result.Error) {
-	if !v.Keyed() {
+	if !v.HasKeys() {
 		return defaultTeam, nil
 	}
 	t, refusal := keyTeam(v, keys)
@@ -61,7 +61,7 @@
 // token, which is a key, or the team named in a header, if that team has no keys.
 func apiTeam(v *config.View, h http.Header) (*config.Team, *result.Error) {
 	name := h.Get(HeaderTeam)
-	if tokens := bearerTokens(h); len(tokens) > 0 && v.Keyed() {
+	if tokens := bearerTokens(h); len(tokens) > 0 && v.HasKeys() {
 		t, refusal := keyTeam(v, tokens)
 		if refusal == nil && name != "" && name != t.Name {
 			return nil, result.Errorf(result.BadCredentials, "%s = %q: the key belongs to another team", HeaderTeam, name)
--- a/entry/turn.go
+++ b/entry/turn.go
@@ -24,7 +24,7 @@
 	e.releasePrefill(p)
 	refusal := e.enqueue(ctx, j, p, p.transferStart)
 	if refusal != nil {
-		e.releaseDecode(j, p, owner.GivenUp)
+		e.releaseDecode(j, p, owner.Abandoned)
 	}
 	return refusal
 }
@@ -35,7 +35,7 @@
 
 // releasePrefill releases the slot at a prefill engine.
 func (e *Entry) releasePrefill(p *plan) {
-	e.owners.Release(p.prefillSpec, owner.Release{Attempt: p.prefillAttempt, Endpoint: route.Number(p.prefillSpec.Name), Outcome: owner.GivenUp})
+	e.owners.Release(p.prefillSpec, owner.Release{Attempt: p.prefillAttempt, Endpoint: route.Number(p.prefillSpec.Name), Outcome: owner.Abandoned})
 }
 
 // enqueue waits for a slot at the prefill engine.
@@ -52,7 +52,7 @@
 	reply, err := e.owners.Enqueue(ctx, p.prefillSpec, a)
 	switch {
 	case err != nil && j.redirected() && ctx.Err() == nil: // the queue of a remote engine is not known
-		e.board.Regions.Missed(config.NameNumber(j.redirect.region), time.Now())
+		e.board.Regions.RecordMiss(config.NameNumber(j.redirect.region), time.Now())
 		return result.Errorf(result.TooLate, "the owner of %s is unreachable", p.prefillSpec.Name).After(time.Second)
 	case err != nil && errors.Is(err, peer.ErrOutOfReach) && ctx.Err() == nil:
 		if p.QueueDuration+p.PrefillDuration+p.TransferDuration > j.slack() {
--- a/entry/unreserved_test.go
+++ b/entry/unreserved_test.go
@@ -48,7 +48,7 @@
 				if _, err := e.board.Config.OfferRoster(roster.Roster(), time.Now()); err != nil {
 					t.Fatal(err)
 				}
-				e.board.Endpoints.Fit(e.board.Config.View())
+				e.board.Endpoints.ApplyView(e.board.Config.View())
 				err := e.tryUnreserved(t.Context(), j)
 				if !slices.Equal(s.callOrder, tc.calls) {
 					t.Errorf("called %v, want %v (%v)", s.callOrder, tc.calls, err)
--- a/entry/write.go
+++ b/entry/write.go
@@ -102,7 +102,7 @@
 		if time.Until(expires) < minResultLeft || p.decodeSpec == nil || !e.spendDecodeCall(j) {
 			e.dropResult(j, p, kv)
 			if p.decodeSpec != nil {
-				e.releaseDecode(j, p, owner.GivenUp)
+				e.releaseDecode(j, p, owner.Abandoned)
 			}
 			return e.wastedPrefill(j, p, err)
 		}
@@ -129,7 +129,7 @@
 	if kv == nil || !p.reserved || e.traits.ReadingRuns {
 		return false
 	}
-	e.board.Endpoints.Touch(route.Number(p.decodeSpec.Name), func(s *route.State) {
+	e.board.Endpoints.Update(route.Number(p.decodeSpec.Name), func(s *route.State) {
 		hasCapacity = int(s.Digest.FreeTokens) >= j.tokens && s.Digest.FreeSlots > 0
 	})
 	return hasCapacity
@@ -140,7 +140,7 @@
 // which happens repeatedly only with the engine that made it.
 func (e *Entry) suspectResult(p *plan) {
 	number, now := route.Number(p.prefillSpec.Name), time.Now()
-	e.board.Endpoints.Touch(number, func(s *route.State) { s.Calls.Record(now, route.OutcomeFailed, 0) })
+	e.board.Endpoints.Update(number, func(s *route.State) { s.Calls.Record(now, route.OutcomeFailed, 0) })
 	e.owners.Release(p.prefillSpec, owner.Release{Attempt: p.prefillAttempt, Endpoint: number, Outcome: owner.Failed})
 }
 
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -67,7 +67,7 @@
 func (l *Ledger) Configure(v *config.View, spec *config.Endpoint, share float64) {
 	l.spec, l.share = spec, share
 	l.slots = max(1, int(float64(route.BatchLimit(spec, v.Doc.Targets.TPOT()))*share))
-	l.mode, l.learnsMargin, l.fullShare = v.Doc.Policy.Forecast, true, v.FullShare()
+	l.mode, l.learnsMargin, l.fullShare = v.Doc.Policy.Forecast, true, v.FullEngineShare()
 	if m := v.Doc.Policy.MarginSD; m != nil {
 		l.margin, l.learnsMargin = *m, false
 	}
--- a/node/admin.go
+++ b/node/admin.go
@@ -159,7 +159,7 @@
 	}
 	ex.Route = r.Name
 	req := route.Request{Model: labels["model"], Tokens: tokens, MaxAnswer: maxTokens, EntryDomain: v.DomainIndex(n.settings.Domain),
-		Region: v.RegionSet(n.settings.Region), AllowedRegions: v.Homes(r.Route, v.Teams[labels["team"]]), Now: time.Now()}
+		Region: v.RegionSet(n.settings.Region), AllowedRegions: v.AllowedRegions(r.Route, v.Teams[labels["team"]]), Now: time.Now()}
 	hosts := n.Board.Hosts.Regions(req.Now)
 	n.Board.Endpoints.Read(func(fleet *route.Fleet) {
 		if fleet.View != v {
--- a/node/drain.go
+++ b/node/drain.go
@@ -32,10 +32,10 @@
 	n.log.Info("leaving")
 	ctx, cancel := context.WithTimeout(context.Background(), config.Millis(n.settings.LameDuckMillis))
 	n.Router.Announce(ctx)
-	n.Owner.HandOver(ctx)
+	n.Owner.HandOverAll(ctx)
 	<-ctx.Done() // meanwhile the load balancer and the peers stop sending requests here
 	cancel()
-	for time.Now().Before(deadline) && n.Board.Requests.Len()+n.Owner.Waiting() > 0 {
+	for time.Now().Before(deadline) && n.Board.Requests.Len()+n.Owner.QueuedRequests() > 0 {
 		if time.Now().After(refuseAt) {
 			n.Board.SetDraining()
 		}
--- a/node/evacuations.go
+++ b/node/evacuations.go
@@ -20,7 +20,7 @@
 func (n *Node) evacuations(now time.Time) []EvacuationStatus {
 	var out []EvacuationStatus
 	running := n.runningEvacuated()
-	for _, row := range n.Board.Emptied.List() {
+	for _, row := range n.Board.Evacuations.List() {
 		out = append(out, EvacuationStatus{row.Domain, now.Sub(row.Since).Seconds(), row.Revision, row.From, running[row.Domain]})
 	}
 	return out
@@ -43,7 +43,7 @@
 // evacuationGauges returns the metrics on failure domains that are being evacuated.
 func evacuationGauges(n *Node) []gauge {
 	return []gauge{
-		{"evacuations", "failure domains that are being emptied", false, func() float64 { return float64(len(n.Board.Emptied.List())) }},
+		{"evacuations", "failure domains that are being emptied", false, func() float64 { return float64(len(n.Board.Evacuations.List())) }},
 		{"evacuated_requests_running", "calls of this host that run in failure domains that are being emptied", false, func() float64 {
 			sum := 0
 			for _, r := range n.runningEvacuated() {
@@ -52,7 +52,7 @@
 			return float64(sum)
 		}},
 		{"evacuation_turned_away", "requests that asked or waited at endpoints of failure domains that are being emptied, refused by their owner here", true, func() float64 {
-			return float64(n.Owner.TurnedAway.Load())
+			return float64(n.Owner.EvacuationRefusals.Load())
 		}},
 	}
 }
--- a/node/node.go
+++ b/node/node.go
@@ -131,8 +131,8 @@
 		return nil, err
 	}
 	n.metrics = m
-	n.Router.Accepted, n.Router.Emptied = func(v *config.View) { n.Record.SetTargets(v.Doc.Targets) }, n.Owner.Empty
-	n.pool = blackboard.NewPool(n.Board, n.Router.Flusher(), n.Owner.Poller(), n.Router.Exchanger(), n.Router.Watcher(), n.Router.KeySweeper(), n.Router.Seeder(), n.Router.Lapser(), n.Router.Prober(), n.Owner.Balancer(), n.Owner.StartsWatch(), n.Router.Settler(), n.Router.MarksSweeper(), n.processLogger())
+	n.Router.Accepted, n.Router.Emptied = func(v *config.View) { n.Record.SetTargets(v.Doc.Targets) }, n.Owner.RefuseEvacuated
+	n.pool = blackboard.NewPool(n.Board, n.Router.Flusher(), n.Owner.Poller(), n.Router.Exchanger(), n.Router.Watcher(), n.Router.KeySweeper(), n.Router.Seeder(), n.Router.Lapser(), n.Router.Prober(), n.Owner.Balancer(), n.Owner.VoteController(), n.Router.Settler(), n.Router.MarksSweeper(), n.processLogger())
 	n.Board.Pause.OnWake(n.dropStaleState)
 	return n, nil
 }
@@ -143,9 +143,9 @@
 	suspended := clock.Suspended() - n.suspendedAtDrop
 	n.suspendedAtDrop += suspended
 	n.log.Warn("the process was paused; beliefs are dropped", zap.Int("code", int(result.ProcessPaused)), zap.Duration("suspended", suspended))
-	n.Board.Config.Older(suspended)
+	n.Board.Config.AddAge(suspended)
 	n.entry.EndLate()
-	n.Board.Hosts.Renew(now)
+	n.Board.Hosts.ResetSilence(now)
 	n.Board.Endpoints.Drop()
 	n.Board.Regions.Drop()
 	n.Board.Keys.Restart(now)
--- a/node/regions.go
+++ b/node/regions.go
@@ -37,8 +37,8 @@
 			continue
 		}
 		number := config.NameNumber(name)
-		row := RegionStatus{Region: name, Trip: float64(n.Board.Regions.Trip(number).Microseconds()) / 1000,
-			Left: n.Board.Regions.Left(number), Quiet: n.Board.Regions.Quiet(number, now)}
+		row := RegionStatus{Region: name, Trip: float64(n.Board.Regions.RoundTrip(number).Microseconds()) / 1000,
+			Left: n.Board.Regions.Redirected(number), Quiet: n.Board.Regions.Avoided(number, now)}
 		for _, pool := range poolNames(v, name) {
 			row.Pools = append(row.Pools, n.poolStatus(number, pool, now))
 		}
@@ -93,7 +93,7 @@
 	}
 	_, err = meter.Float64ObservableCounter("region_stayed", metric.WithDescription("other regions that a request could not leave for, by reason"),
 		metric.WithFloat64Callback(func(_ context.Context, o metric.Float64Observer) error {
-			for v, c := range n.Board.Regions.Kept() {
+			for v, c := range n.Board.Regions.NotRedirected() {
 				if c > 0 {
 					o.Observe(float64(c), metric.WithAttributes(attribute.String("reason", region.Verdict(v).String())))
 				}
--- a/node/sink.go
+++ b/node/sink.go
@@ -29,7 +29,7 @@
 	if s.n.Board.Meeting(time.Now()) {
 		return false
 	}
-	return s.n.Board.Hosts.Ahead(eagerKey, s.n.settings.Domain, time.Now()) < eagerHosts
+	return s.n.Board.Hosts.CountAhead(eagerKey, s.n.settings.Domain, time.Now()) < eagerHosts
 }
 
 // eagerKey is the hash key that selects the eager hosts of a failure domain.
@@ -39,12 +39,14 @@
 	if !s.n.Board.Pause.RanSince(asked) {
 		at = asked
 	}
-	s.n.Board.Config.Heard(at)
+	s.n.Board.Config.RecordPlatformAnswer(at)
 	if s.Eager() {
 		s.n.Router.TellDomain(s.ctx)
 	}
 }
 
-func (s feedSink) HeardFor() (time.Duration, bool) { return s.n.Board.Config.HeardFor(time.Now()) }
+func (s feedSink) HeardFor() (time.Duration, bool) {
+	return s.n.Board.Config.PlatformSilence(time.Now())
+}
 
 func (s feedSink) Relies() bool { return s.n.Router.Relies(time.Now()) }
--- a/node/status.go
+++ b/node/status.go
@@ -87,7 +87,7 @@
 		s.Broken[string(name)] = c
 	}
 	for _, h := range n.Board.Hosts.List() {
-		s.Hosts = append(s.Hosts, HostStatus{h.Name, h.Domain, n.Board.Hosts.Live(h, now), h.Leaving, h.Doubted, now.Sub(h.Advanced).Seconds()})
+		s.Hosts = append(s.Hosts, HostStatus{h.Name, h.Domain, n.Board.Hosts.Live(h, now), h.Leaving, h.Unconfirmed, now.Sub(h.HeartbeatAt).Seconds()})
 	}
 	v := n.Board.Config.View()
 	if v == nil {
@@ -111,7 +111,7 @@
 func (n *Node) endpointStatus(v *config.View, st *route.State, now time.Time) EndpointStatus {
 	es := EndpointStatus{Endpoint: st.Spec.Name, Role: st.Role, Domain: st.Spec.Domain, State: stateName(st), Queue: st.Digest.QueueMillis,
 		Free: st.Digest.FreeTokens, Slots: st.Digest.FreeSlots, Slow: st.SlowFactor(), Failing: st.Digest.FailPct, Age: -1, Cold: st.ColdRemaining(now).Seconds()}
-	es.Starts, es.Refused = n.Owner.Starts.Count(st.Number)
+	es.Starts, es.Refused = n.Owner.Permits.Count(st.Number)
 	if w := st.Limit.Report(); w.Named {
 		es.Limit, es.LimitSince = &w.PerSecond, clock.Now().Sub(st.Limit.Since).Seconds()
 	}
--- a/node/watch.go
+++ b/node/watch.go
@@ -36,7 +36,7 @@
 			backoff = min(2*backoff, maxBackoff)
 		} else {
 			backoff = minBackoff
-			n.Board.Config.Heard(time.Now())
+			n.Board.Config.RecordPlatformAnswer(time.Now())
 		}
 		if pause > 0 {
 			select {
--- a/owner/adopt.go
+++ b/owner/adopt.go
@@ -59,7 +59,7 @@
 	}
 	before := o.ownedFor.view
 	if o.owned != nil && o.ownedFor.members == members && v.SharesLayout(before) && v.Doc.Policy.Mode == before.Doc.Policy.Mode {
-		config.Differing(before, v, visit)
+		config.EachDifference(before, v, visit)
 		return gained, lost
 	}
 	for _, d := range o.candidateEndpoints(v, now) {
@@ -140,7 +140,7 @@
 // and of domains without live hosts. In modes where the owner does not depend on the endpoint,
 // these are all endpoints.
 func (o *Owner) candidateEndpoints(v *config.View, now time.Time) (out []config.Endpoints) {
-	if v.Doc.Policy.Mode.Single() {
+	if v.Doc.Policy.Mode.IgnoresEndpoint() {
 		return []config.Endpoints{v.Endpoints}
 	}
 	for _, d := range v.Doc.Domains {
@@ -160,7 +160,7 @@
 func (o *Owner) newOwnershipFunc(v *config.View, now time.Time) ownershipFunc {
 	byDomain := map[string]*blackboard.Candidates{}
 	return func(e *config.Endpoint, number uint32) bool {
-		if v.Doc.Policy.Mode.Single() {
+		if v.Doc.Policy.Mode.IgnoresEndpoint() {
 			h, ok := Of(o.board, v, e, now)
 			return ok && h.Number == o.board.Number
 		}
--- a/owner/balance.go
+++ b/owner/balance.go
@@ -52,7 +52,7 @@
 			return
 		}
 		for name, p := range v.Pools {
-			if !p.Engines() || p.RoleSwitchMillis == 0 {
+			if !p.HasEngines() || p.RoleSwitchMillis == 0 {
 				continue
 			}
 			changing := o.roleChanging()
@@ -150,7 +150,7 @@
 
 // order sends one order, unless the last order to the runner is recent.
 func (o *Owner) order(ctx context.Context, p *config.Pool, e *config.Endpoint, to config.Role, now time.Time) {
-	if o.board.Config.View().Emptied(e) {
+	if o.board.Config.View().IsEvacuated(e) {
 		return
 	}
 	number := route.Number(e.Name)
@@ -204,8 +204,8 @@
 	o.board.Endpoints.Learn(d, time.Now())
 }
 
-// SawFence records a fence that some host has used.
-func (o *Owner) SawFence(f uint64) {
+// ObserveFence records a fence that some host has used.
+func (o *Owner) ObserveFence(f uint64) {
 	o.balance.mu.Lock()
 	defer o.balance.mu.Unlock()
 	o.balance.fence = max(o.balance.fence, f)
--- a/owner/balance_test.go
+++ b/owner/balance_test.go
@@ -89,23 +89,23 @@
 			o.engine, o.log = eng, zap.NewNop()
 			o.board.Config.Offer(2, []byte(balanceDocument))
 			o.board.Config.OfferRoster(rosterOf(9, "ppdpddpdd").Roster(), time.Now())
-			o.board.Endpoints.Fit(o.board.Config.View())
+			o.board.Endpoints.ApplyView(o.board.Config.View())
 			now := time.Now()
 			for i := range 4 {
-				h := blackboard.Host{Name: fmt.Sprint("other", i), Number: uint32(i + 1), Domain: "e", Region: "r", Incarnation: 1, Beat: 1}
+				h := blackboard.Host{Name: fmt.Sprint("other", i), Number: uint32(i + 1), Domain: "e", Region: "r", Incarnation: 1, Heartbeat: 1}
 				o.board.Hosts.Learn(h, now)
 				if i < tc.gone {
-					o.board.Hosts.Accuse(h.Number, h.Incarnation, h.Beat, now)
+					o.board.Hosts.Suspect(h.Number, h.Incarnation, h.Heartbeat, now)
 				}
 			}
 			o.board.Settings.Seeds = make([]string, tc.seeds)
 			if !tc.silent {
-				o.board.Config.Heard(now)
+				o.board.Config.RecordPlatformAnswer(now)
 			}
 			if tc.leaving {
 				o.board.SetLeaving()
 			}
-			o.SawFence(tc.heardFence)
+			o.ObserveFence(tc.heardFence)
 			v := o.board.Config.View()
 			o.canOrder(v, now.Add(-tc.settled))
 			for ago := tc.settled; ago > 0; ago -= balanceInterval {
@@ -114,10 +114,10 @@
 				}
 			}
 			if tc.doubted {
-				o.board.Hosts.Doubt(1)
+				o.board.Hosts.MarkUnconfirmed(1)
 			}
 			for i := range tc.come {
-				h := blackboard.Host{Name: fmt.Sprint("new", i), Number: uint32(100 + i), Domain: tc.into, Region: "r", Incarnation: 1, Beat: 1}
+				h := blackboard.Host{Name: fmt.Sprint("new", i), Number: uint32(100 + i), Domain: tc.into, Region: "r", Incarnation: 1, Heartbeat: 1}
 				o.board.Hosts.Learn(h, now)
 			}
 			if o.canOrder(v, now) && canOrderNow(o, v.Endpoint("r00"), now) {
@@ -152,8 +152,8 @@
 	roster.Revision = 10
 	o.board.Config.OfferRoster(roster.Roster(), now)
 	before := o.orderable(o.board.Config.View(), now)
-	afterExpiry := now.Add(config.LapsedKept + time.Millisecond)
-	o.board.Config.DropLapsed(afterExpiry)
+	afterExpiry := now.Add(config.ExpiryGrace + time.Millisecond)
+	o.board.Config.DropExpired(afterExpiry)
 	o.balance.cache.validAt = afterExpiry // as if it had been checked continuously
 	v := o.board.Config.View()
 	for _, e := range o.orderable(v, afterExpiry) {
--- a/owner/book.go
+++ b/owner/book.go
@@ -261,7 +261,7 @@
 // prefills to avoid work for callers that leave early, if the configuration weighs wasted
 // prefill more than goodput. The delay shrinks with the share of callers that leave.
 func (s *Scheduler) prefillNotBefore(now time.Time, it *queue.Item) time.Time {
-	share := s.view.Patience() * min(1, s.leavingShare/fullDelayShare)
+	share := s.view.MaxPrefillDelayShare() * min(1, s.leavingShare/fullDelayShare)
 	return now.Add(time.Duration(share*float64(it.LatestStart.Sub(now))) + it.Work)
 }
 
--- a/owner/empty.go
+++ b/owner/empty.go
@@ -25,10 +25,10 @@
 		return nil
 	}
 	spec := v.Endpoints.Get(sched.number)
-	if spec == nil || !v.Emptied(spec) {
+	if spec == nil || !v.IsEvacuated(spec) {
 		return nil
 	}
-	o.TurnedAway.Add(1)
+	o.EvacuationRefusals.Add(1)
 	return evacuatedError(spec)
 }
 
@@ -36,9 +36,9 @@
 	return result.Errorf(result.Evacuated, "the failure domain of endpoint %s is evacuated", spec.Name).After(evacuatedRetry)
 }
 
-// Empty refuses the queued requests of endpoints whose failure domain is evacuated in the view
+// RefuseEvacuated refuses the queued requests of endpoints whose failure domain is evacuated in the view
 // in use, so that their hosts place them elsewhere.
-func (o *Owner) Empty(v *config.View) {
+func (o *Owner) RefuseEvacuated(v *config.View) {
 	o.mu.Lock()
 	schedulers := make([]*Scheduler, 0, len(o.schedulers))
 	for _, sched := range o.schedulers {
@@ -46,8 +46,8 @@
 	}
 	o.mu.Unlock()
 	for _, sched := range schedulers {
-		if spec := v.Endpoints.Get(sched.number); spec != nil && v.Emptied(spec) {
-			o.TurnedAway.Add(sched.refuseQueued(spec))
+		if spec := v.Endpoints.Get(sched.number); spec != nil && v.IsEvacuated(spec) {
+			o.EvacuationRefusals.Add(sched.refuseQueued(spec))
 		}
 	}
 }
--- a/owner/empty_test.go
+++ b/owner/empty_test.go
@@ -36,8 +36,8 @@
 		if _, err := o.board.Config.OfferRoster(r.Roster(), time.Now()); err != nil {
 			t.Fatal(err)
 		}
-		o.board.Endpoints.Fit(o.board.Config.View())
-		o.Empty(o.board.Config.View())
+		o.board.Endpoints.ApplyView(o.board.Config.View())
+		o.RefuseEvacuated(o.board.Config.View())
 	}
 	publish()
 	return o, eng, publish
@@ -102,11 +102,11 @@
 	if code := ask(2); code != result.Evacuated {
 		t.Errorf("code %v during the evacuation, want %v", code, result.Evacuated)
 	}
-	if h := o.Tell(number); len(h.Rows) != 1 {
+	if h := o.Reservations(number); len(h.Rows) != 1 {
 		t.Errorf("%d reservations are handed over, want 1", len(h.Rows))
 	}
 	o.Release([]Release{{Attempt: attempt(1), Endpoint: number, Outcome: Done}})
-	if h := o.Tell(number); len(h.Rows) != 0 {
+	if h := o.Reservations(number); len(h.Rows) != 0 {
 		t.Errorf("%d reservations are left", len(h.Rows))
 	}
 	publish()
@@ -145,7 +145,7 @@
 					if i == 12 && !tc.early || i == 0 && tc.early {
 						publish(tc.evacuated...)
 					}
-					o.board.Config.Heard(time.Now())
+					o.board.Config.RecordPlatformAnswer(time.Now())
 					o.board.Pause.Check()
 					if work, _ := balancer.Next(time.Now()); work != nil {
 						work(t.Context())
--- a/owner/handover.go
+++ b/owner/handover.go
@@ -10,10 +10,10 @@
 	"github.com/embercove/embercove/ledger"
 )
 
-// HandOver sends this leaving host's reservations, which the endpoints may not know of
+// HandOverAll sends this leaving host's reservations, which the endpoints may not know of
 // yet, to its successors. Requests in its own queues are still served from here until the
 // queues are empty.
-func (o *Owner) HandOver(ctx context.Context) {
+func (o *Owner) HandOverAll(ctx context.Context) {
 	v := o.board.Config.View()
 	if v == nil || o.peers == nil {
 		return
@@ -49,7 +49,7 @@
 	}
 	now := time.Now()
 	for _, h := range o.board.Hosts.Order(uint64(sched.number), sched.spec.Domain, now) {
-		if h.Number == o.board.Number || h.Doubted || h.Peers == "" {
+		if h.Number == o.board.Number || h.Unconfirmed || h.Peers == "" {
 			continue
 		}
 		received, err := o.peers.Inherit(ctx, h, sched.number)
@@ -65,8 +65,8 @@
 	return false
 }
 
-// Tell returns this host's reservations at an endpoint, for a successor that takes it over.
-func (o *Owner) Tell(endpoint uint32) Handover {
+// Reservations returns this host's reservations at an endpoint, for a successor that takes it over.
+func (o *Owner) Reservations(endpoint uint32) Handover {
 	o.mu.Lock()
 	sched := o.schedulers[endpoint]
 	o.mu.Unlock()
@@ -87,8 +87,8 @@
 	return h
 }
 
-// Accept records a predecessor's reservations.
-func (o *Owner) Accept(ctx context.Context, h Handover) error {
+// AcceptHandover records a predecessor's reservations.
+func (o *Owner) AcceptHandover(ctx context.Context, h Handover) error {
 	sched, err := o.scheduler(ctx, h.Endpoint)
 	if err != nil {
 		return err
@@ -110,8 +110,8 @@
 	}
 }
 
-// Waiting returns the number of requests in this host's queues.
-func (o *Owner) Waiting() int {
+// QueuedRequests returns the number of requests in this host's queues.
+func (o *Owner) QueuedRequests() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	n := 0
--- a/owner/handover_test.go
+++ b/owner/handover_test.go
@@ -23,18 +23,18 @@
 }
 
 func (p pairPeers) Handover(ctx context.Context, _ blackboard.Host, h Handover) error {
-	return p.other.Accept(ctx, h)
+	return p.other.AcceptHandover(ctx, h)
 }
 
 func (p pairPeers) Inherit(_ context.Context, _ blackboard.Host, endpoint uint32) (Handover, error) {
-	return p.other.Tell(endpoint), nil
+	return p.other.Reservations(endpoint), nil
 }
 
-func (p pairPeers) Heard(*config.Endpoint, pace.Report)         {}
-func (p pairPeers) LimitTold(*config.Endpoint, pace.WireReport) {}
+func (p pairPeers) ReceiveLimit(*config.Endpoint, pace.Report)         {}
+func (p pairPeers) ReceivePeerLimit(*config.Endpoint, pace.WireReport) {}
 
 func (p pairPeers) Vote(_ context.Context, _ blackboard.Host, a VoteArgs) (VoteReply, error) {
-	return p.other.Starts.Vote(a), nil
+	return p.other.Permits.Vote(a), nil
 }
 
 const poolDocument = `{"failure_domains": [{"name": "d", "region": "r"}], "targets": {"ttft_ms": 900, "tpot_ms": 10},
@@ -55,10 +55,10 @@
 	if _, err := b.Config.OfferRoster((&config.RosterList{Revision: 1, Endpoints: []config.Endpoint{row}}).Roster(), time.Now()); err != nil {
 		t.Fatal(err)
 	}
-	b.Endpoints.Fit(b.Config.View())
+	b.Endpoints.ApplyView(b.Config.View())
 	b.Hosts.Learn(blackboard.Host{Name: other, Number: request.HostNumber(other), Domain: "d", Region: "r", Peers: "127.0.0.1:2",
-		Incarnation: 1, Beat: 1}, at(0))
-	b.Hosts.Renew(at(0).AddDate(100, 0, 0))
+		Incarnation: 1, Heartbeat: 1}, at(0))
+	b.Hosts.ResetSilence(at(0).AddDate(100, 0, 0))
 	return New(b, endpoint.NewClient(nil), zap.NewNop())
 }
 
@@ -124,7 +124,7 @@
 				if _, err := o.board.Config.OfferRoster((&config.RosterList{Revision: revision, Endpoints: []config.Endpoint{row}}).Roster(), time.Now()); err != nil {
 					t.Fatal(err)
 				}
-				o.board.Endpoints.Fit(o.board.Config.View())
+				o.board.Endpoints.ApplyView(o.board.Config.View())
 			}
 			offer(2, from)
 			now := time.Now()
--- a/owner/learn.go
+++ b/owner/learn.go
@@ -51,7 +51,7 @@
 	delete(s.holderGoneSince, r.Attempt)
 	s.decayFailures(now)
 	switch r.Outcome {
-	case Left:
+	case CallerLeft:
 		blend(&s.leavingShare, 1, learnLeaving)
 	case Done:
 		blend(&s.failureShare, 0, learnFailure)
--- a/owner/lone.go
+++ b/owner/lone.go
@@ -16,10 +16,10 @@
 	lastUsed time.Time
 }
 
-// AskAlone requests a permit at an endpoint that names a limit and whose owner is unreachable.
+// AcquireIsolated requests a permit at an endpoint that names a limit and whose owner is unreachable.
 // fairShare is this host's equal share of the fleet. A cold endpoint gets no such permits: its bound
 // leaves no margin for calls that the other hosts don't know of.
-func (s *Starts) AskAlone(spec *config.Endpoint, fairShare float64) (in time.Duration, given bool) {
+func (s *Permits) AcquireIsolated(spec *config.Endpoint, fairShare float64) (in time.Duration, given bool) {
 	number, now := route.Number(spec.Name), clock.Now()
 	perSecond, allowed := 0.0, false
 	s.board.Endpoints.Find(number, func(_ *config.View, st *route.State) {
@@ -38,7 +38,7 @@
 	}
 	p.lastUsed = now
 	if in, given = p.Acquire(now, perSecond, fairShare); given {
-		s.Alone.Add(1)
+		s.Isolated.Add(1)
 	}
 	return in, given
 }
--- a/owner/messages.go
+++ b/owner/messages.go
@@ -90,11 +90,11 @@
 
 // The outcomes.
 const (
-	Done     Outcome = iota
-	GivenUp          // abandoned by the entry host before it started
-	Left             // the caller left
-	Failed           // failed at the endpoint
-	Rejected         // the endpoint refused it as not run
+	Done       Outcome = iota
+	Abandoned          // abandoned by the entry host before it started
+	CallerLeft         // the caller left
+	Failed             // failed at the endpoint
+	Rejected           // the endpoint refused it as not run
 )
 
 // Handover carries an owner's reservations at an endpoint to its successor.
--- a/owner/order.go
+++ b/owner/order.go
@@ -38,7 +38,7 @@
 	order := wantedState(v, sched.spec)
 	ahead := sched.spec.ChecksFence && st.Fence > v.Revision // another owner has a later revision
 	sched.wrongState = differs(order, st)
-	due := sched.wrongState && !ahead && !v.Emptied(sched.spec) && now.Sub(sched.lastOrder) > reorderAfter
+	due := sched.wrongState && !ahead && !v.IsEvacuated(sched.spec) && now.Sub(sched.lastOrder) > reorderAfter
 	if due {
 		sched.lastOrder = now
 	}
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -39,9 +39,9 @@
 	// Vote asks a host for its votes for the endpoints that need start permits.
 	Vote(ctx context.Context, host blackboard.Host, a VoteArgs) (VoteReply, error)
 	// Heard records the limit that an endpoint named in a response to this host.
-	Heard(spec *config.Endpoint, w pace.Report)
+	ReceiveLimit(spec *config.Endpoint, w pace.Report)
 	// LimitTold records an endpoint's limit as reported by another host.
-	LimitTold(spec *config.Endpoint, t pace.WireReport)
+	ReceivePeerLimit(spec *config.Endpoint, t pace.WireReport)
 }
 
 // Owner holds the schedulers of owned endpoints.
@@ -55,26 +55,26 @@
 	schedulers map[uint32]*Scheduler
 
 	balance balance
-	Starts  *Starts // permits for endpoints that are cold or name a limit
+	Permits *Permits // permits for endpoints that are cold or name a limit
 
 	nextAdopt time.Time
 	owned     map[uint32]bool // nil: not computed yet
 	ownedFor  ownershipInputs
 
 	// Counters for metrics and tests.
-	Reaped   atomic.Uint64 // orphaned attempts that were cancelled
-	Orders   atomic.Uint64 // orders sent
-	Takeover atomic.Uint64 // endpoints taken over
-	Polls    atomic.Uint64 // control calls to endpoints
+	Reaped    atomic.Uint64 // orphaned attempts that were cancelled
+	Orders    atomic.Uint64 // orders sent
+	Takeovers atomic.Uint64 // endpoints taken over
+	Polls     atomic.Uint64 // control calls to endpoints
 	// TurnedAway counts requests refused because their endpoint's failure domain is evacuated.
-	TurnedAway atomic.Uint64
+	EvacuationRefusals atomic.Uint64
 }
 
 // New returns an owner without schedulers.
 func New(b *blackboard.Board, e endpoint.Engine, log *zap.Logger) *Owner {
 	o := &Owner{board: b, engine: e, log: log, schedulers: map[uint32]*Scheduler{}}
 	o.balance.orderedAt, o.balance.imbalances, o.balance.tenures = map[uint32]time.Time{}, map[string]*roles.History{}, map[uint32]tenure{}
-	o.Starts = newStarts(b, func() Peers { return o.peers }, log)
+	o.Permits = newPermits(b, func() Peers { return o.peers }, log)
 	b.Pause.OnWake(o.resetAfterPause)
 	return o
 }
@@ -86,7 +86,7 @@
 // members. ok is false if the domain has no live host.
 func Of(b *blackboard.Board, v *config.View, e *config.Endpoint, now time.Time) (blackboard.Host, bool) {
 	switch v.Doc.Policy.Mode {
-	case config.ModeShare:
+	case config.ModeFixedShare:
 		return b.Hosts.Self(), true
 	case config.ModeDispatcher:
 		return b.Hosts.First(uint64(route.Number(string(e.Role))), v.Doc.Domains[0].Name, now)
@@ -102,7 +102,7 @@
 // share is the part of an endpoint's capacity that this host's ledger may allocate:
 // all of it, or one equal part per host in the fixed-share mode (baseline B).
 func (o *Owner) share(v *config.View) float64 {
-	if v.Doc.Policy.Mode != config.ModeShare {
+	if v.Doc.Policy.Mode != config.ModeFixedShare {
 		return 1
 	}
 	return 1 / float64(max(1, o.board.Hosts.Len()))
@@ -152,7 +152,7 @@
 		sched.ledger.InheritPace(pace.SlowPct)
 	}
 	o.schedulers[sched.number] = sched
-	o.Takeover.Add(1)
+	o.Takeovers.Add(1)
 	return sched
 }
 
--- a/owner/poll.go
+++ b/owner/poll.go
@@ -227,11 +227,11 @@
 	sched.mu.Lock()
 	spec := sched.spec
 	sched.mu.Unlock()
-	o.board.Endpoints.Notice(sched.number, route.Notice{Leaving: st.Notice.Leaving, Started: spec.Born, ReceivedAt: time.Now()})
+	o.board.Endpoints.ObserveNotice(sched.number, route.Notice{Leaving: st.Notice.Leaving, Started: spec.Born, ReceivedAt: time.Now()})
 	if !st.Notice.Limit.Named || o.peers == nil {
 		return
 	}
-	o.peers.Heard(spec, pace.Report{Named: true, PerSecond: st.Notice.Limit.PerSecond, At: clock.Now(), Born: spec.Born})
+	o.peers.ReceiveLimit(spec, pace.Report{Named: true, PerSecond: st.Notice.Limit.PerSecond, At: clock.Now(), Born: spec.Born})
 }
 
 func (o *Owner) pollList(ctx context.Context, sched *Scheduler) {
--- a/owner/reap.go
+++ b/owner/reap.go
@@ -139,5 +139,5 @@
 	}
 	o.Reaped.Add(1)
 	o.log.Info("orphaned attempt cancelled", zap.String("endpoint", sched.spec.Name), zap.Stringer("attempt", a))
-	o.Release([]Release{{Attempt: a, Endpoint: sched.number, Outcome: GivenUp}})
+	o.Release([]Release{{Attempt: a, Endpoint: sched.number, Outcome: Abandoned}})
 }
--- a/owner/serve.go
+++ b/owner/serve.go
@@ -32,7 +32,7 @@
 	}
 	reply.InMillis = max(0, millis(at.Sub(now)))
 	if a.Spare == 0 { // no request is sent for a replica
-		o.Starts.Note(sched.spec)
+		o.Permits.RecordSent(sched.spec)
 	}
 	return reply, nil
 }
@@ -57,7 +57,7 @@
 		reply.Code, reply.Retry = refusal.Code, millis(refusal.RetryAfter)
 		return reply, nil
 	}
-	o.Starts.Note(sched.spec)
+	o.Permits.RecordSent(sched.spec)
 	return reply, nil
 }
 
--- a/owner/starts.go
+++ b/owner/starts.go
@@ -22,8 +22,8 @@
 // consider themselves the owner. An owner therefore hands out only the share of the bound for
 // which it has votes (package pace).
 
-// StartArgs requests a start permit at an endpoint.
-type StartArgs struct {
+// PermitArgs requests a start permit at an endpoint.
+type PermitArgs struct {
 	Endpoint uint32
 	Wait     int  // ms that the call may wait for it
 	Warm     bool // the requester considers the endpoint warm, so only its limit applies
@@ -31,8 +31,8 @@
 	Limit    pace.WireReport // the endpoint's limit as known to the requester
 }
 
-// StartReply grants a permit for a call in InMillis, or says when to ask again.
-type StartReply struct {
+// PermitReply grants a permit for a call in InMillis, or says when to ask again.
+type PermitReply struct {
 	Given      bool
 	InMillis   int             // until the call may start; without a permit, until the next request for one
 	BackMillis int             // without a permit: until the caller may retry
@@ -52,9 +52,9 @@
 	Of    []int // number of hosts that may vote, as far as the voter knows
 }
 
-// Starts hands out start permits for the endpoints that this host owns and that need them.
-type Starts struct {
-	Given, Refused, Alone atomic.Uint64
+// Permits hands out start permits for the endpoints that this host owns and that need them.
+type Permits struct {
+	Given, Refused, Isolated atomic.Uint64
 
 	board *blackboard.Board
 	peers func() Peers
@@ -81,21 +81,21 @@
 	cold               bool      // as of the last check
 }
 
-func newStarts(b *blackboard.Board, peers func() Peers, log *zap.Logger) *Starts {
-	s := &Starts{board: b, peers: peers, log: log, permits: map[uint32]*endpointPermits{}, isolated: map[uint32]*isolatedPace{}, votes: pace.NewVotes(clock.Now())}
-	b.Pause.OnWake(s.Wake)
+func newPermits(b *blackboard.Board, peers func() Peers, log *zap.Logger) *Permits {
+	s := &Permits{board: b, peers: peers, log: log, permits: map[uint32]*endpointPermits{}, isolated: map[uint32]*isolatedPace{}, votes: pace.NewVotes(clock.Now())}
+	b.Pause.OnWake(s.Reset)
 	return s
 }
 
-// Wake drops the state from before a pause: other hosts may have handed out permits since.
-func (s *Starts) Wake(time.Time) {
+// Reset drops the state from before a pause: other hosts may have handed out permits since.
+func (s *Permits) Reset(time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.votes, s.permits = pace.NewVotes(clock.Now()), map[uint32]*endpointPermits{}
 }
 
 // permitsAt returns the permits handed out at an endpoint. The caller holds the lock.
-func (s *Starts) permitsAt(number uint32, now time.Time) *endpointPermits {
+func (s *Permits) permitsAt(number uint32, now time.Time) *endpointPermits {
 	p := s.permits[number]
 	if p == nil {
 		p = new(endpointPermits)
@@ -106,7 +106,7 @@
 }
 
 // spec returns an endpoint of the revision in force.
-func (s *Starts) spec(number uint32) (*config.View, *config.Endpoint, error) {
+func (s *Permits) spec(number uint32) (*config.View, *config.Endpoint, error) {
 	v := s.board.Config.View()
 	if v == nil {
 		return nil, nil, result.Errorf(result.NotReady, "no configuration yet")
@@ -119,7 +119,7 @@
 }
 
 // coldTerms returns the terms for a share of what all hosts together may send a cold endpoint.
-func (s *Starts) coldTerms(spec *config.Endpoint, share float64) pace.BucketParams {
+func (s *Permits) coldTerms(spec *config.Endpoint, share float64) pace.BucketParams {
 	return pace.ColdParams(share * pace.ColdBound(spec.ColdPerSecond, s.board.Settings.ColdOverrun, s.board.Settings.ColdTolerance))
 }
 
@@ -131,7 +131,7 @@
 
 // bounds returns the bounds that apply at an endpoint. The caller must not hold the lock, because
 // this locks the endpoint table, whose lock is taken before it.
-func (s *Starts) bounds(spec *config.Endpoint, warm bool, now time.Time) (b bounds) {
+func (s *Permits) bounds(spec *config.Endpoint, warm bool, now time.Time) (b bounds) {
 	s.board.Endpoints.Find(route.Number(spec.Name), func(_ *config.View, st *route.State) {
 		b.perSecond, b.limited = st.Limit.Limit(now)
 		warm = warm && !st.IsCold(time.Now())
@@ -141,7 +141,7 @@
 }
 
 // terms returns the terms for a share of what all hosts together may send an endpoint.
-func (s *Starts) terms(spec *config.Endpoint, b bounds, share float64) pace.BucketParams {
+func (s *Permits) terms(spec *config.Endpoint, b bounds, share float64) pace.BucketParams {
 	switch {
 	case b.cold && b.limited:
 		return s.coldTerms(spec, share).Tighter(pace.LimitParams(b.perSecond, share))
@@ -151,19 +151,19 @@
 	return pace.LimitParams(b.perSecond, share)
 }
 
-// Ask handles a StartArgs from this or another host.
-func (s *Starts) Ask(a StartArgs) (StartReply, error) {
+// Acquire handles a StartArgs from this or another host.
+func (s *Permits) Acquire(a PermitArgs) (PermitReply, error) {
 	s.board.Pause.Check()
 	v, spec, err := s.spec(a.Endpoint)
 	if err != nil {
-		return StartReply{}, err
+		return PermitReply{}, err
 	}
 	now := clock.Now()
 	if s.peers() != nil {
-		s.peers().LimitTold(spec, a.Limit)
+		s.peers().ReceivePeerLimit(spec, a.Limit)
 	}
 	b := s.bounds(spec, a.Warm, now)
-	reply := StartReply{Given: true}
+	reply := PermitReply{Given: true}
 	if b.cold || b.limited {
 		reply = s.grant(v, spec, a, b, now)
 	}
@@ -172,7 +172,7 @@
 }
 
 // grant hands out a permit, or says when to ask again.
-func (s *Starts) grant(v *config.View, spec *config.Endpoint, a StartArgs, b bounds, now time.Time) StartReply {
+func (s *Permits) grant(v *config.View, spec *config.Endpoint, a PermitArgs, b bounds, now time.Time) PermitReply {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.permitsAt(a.Endpoint, now)
@@ -180,18 +180,18 @@
 	share := p.quorum.Share(now)
 	t := s.terms(spec, b, share)
 	if share == 0 && s.requestFirstVotes(v, p, spec, now) {
-		return StartReply{InMillis: millis(firstRoundDelay), BackMillis: millis(firstRoundDelay)}
+		return PermitReply{InMillis: millis(firstRoundDelay), BackMillis: millis(firstRoundDelay)}
 	}
 	in, given := p.Acquire(now, t, p.WaitLimit(now, a.Asker, duration(a.Wait)))
 	if !given {
 		s.Refused.Add(1)
 		p.refused++
-		return StartReply{InMillis: millis(min(in, maxRetryDelay)), BackMillis: millis(p.RetryAfter(now, t))}
+		return PermitReply{InMillis: millis(min(in, maxRetryDelay)), BackMillis: millis(p.RetryAfter(now, t))}
 	}
 	s.Given.Add(1)
 	p.given++
 	p.NoteGrant(now, a.Asker)
-	return StartReply{Given: true, InMillis: millis(in)}
+	return PermitReply{Given: true, InMillis: millis(in)}
 }
 
 // requestFirstVotes requests votes at once for an endpoint for which none were requested lately,
@@ -199,7 +199,7 @@
 // to an endpoint that has turned cold waited for the next round, and prefills were wasted. Calls
 // that arrive before the first votes get the same answer, because a call that is refused without
 // it avoids the endpoint for the rest of maxRetryDelay.
-func (s *Starts) requestFirstVotes(v *config.View, p *endpointPermits, spec *config.Endpoint, now time.Time) bool {
+func (s *Permits) requestFirstVotes(v *config.View, p *endpointPermits, spec *config.Endpoint, now time.Time) bool {
 	if !s.owns(v, spec, time.Now()) {
 		return false
 	}
@@ -211,7 +211,7 @@
 }
 
 // owns reports whether this host owns an endpoint according to its own view.
-func (s *Starts) owns(v *config.View, spec *config.Endpoint, now time.Time) bool {
+func (s *Permits) owns(v *config.View, spec *config.Endpoint, now time.Time) bool {
 	h, ok := Of(s.board, v, spec, now)
 	return ok && h.Number == s.board.Number
 }
@@ -224,8 +224,8 @@
 // another one, may have votes.
 const maxRetryDelay = time.Second
 
-// Note records that a request is about to be sent to an endpoint that may turn cold.
-func (s *Starts) Note(spec *config.Endpoint) {
+// RecordSent records that a request is about to be sent to an endpoint that may turn cold.
+func (s *Permits) RecordSent(spec *config.Endpoint) {
 	if spec.ColdPerSecond <= 0 || time.Now().Before(spec.ColdUntil) {
 		return
 	}
@@ -238,7 +238,7 @@
 }
 
 // Vote handles a VoteArgs from this or another host.
-func (s *Starts) Vote(a VoteArgs) (reply VoteReply) {
+func (s *Permits) Vote(a VoteArgs) (reply VoteReply) {
 	s.board.Pause.Check()
 	now := clock.Now()
 	s.mu.Lock()
@@ -261,7 +261,7 @@
 
 // Count returns how many permits this host has granted and refused at an endpoint, since it began
 // to track the endpoint.
-func (s *Starts) Count(number uint32) (given, refused uint64) {
+func (s *Permits) Count(number uint32) (given, refused uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if p := s.permits[number]; p != nil {
--- a/owner/starts_test.go
+++ b/owner/starts_test.go
@@ -33,7 +33,7 @@
 	if _, err := o.board.Config.OfferRoster((&config.RosterList{Revision: 2, Endpoints: []config.Endpoint{row}}).Roster(), time.Now()); err != nil {
 		t.Fatal(err)
 	}
-	o.board.Endpoints.Fit(o.board.Config.View())
+	o.board.Endpoints.ApplyView(o.board.Config.View())
 	o.board.Endpoints.SetOwn(route.Number(row.Name), true)
 	return o
 }
@@ -46,8 +46,8 @@
 		o := coldOwner(t)
 		number := config.NameNumber("e")
 		given := func() bool {
-			o.Starts.tick(context.Background())
-			reply, err := o.Starts.Ask(StartArgs{Endpoint: number})
+			o.Permits.tick(context.Background())
+			reply, err := o.Permits.Acquire(PermitArgs{Endpoint: number})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -60,7 +60,7 @@
 		if !given() {
 			t.Error("no permit was granted by the only host")
 		}
-		o.Starts.Wake(time.Now())
+		o.Permits.Reset(time.Now())
 		if given() {
 			t.Error("a permit was granted right after a pause")
 		}
@@ -68,7 +68,7 @@
 		if !given() {
 			t.Error("no permit was granted long after a pause")
 		}
-		if n, _ := o.Starts.Count(number); n != 1 {
+		if n, _ := o.Permits.Count(number); n != 1 {
 			t.Errorf("%d permits counted since the pause, want 1", n)
 		}
 	})
@@ -81,22 +81,22 @@
 	synctest.Test(t, func(t *testing.T) {
 		o, other := coldOwner(t), coldOwner(t)
 		o.board.Hosts.Learn(blackboard.Host{Name: "h2", Number: request.HostNumber("h2"), Domain: "d", Region: "r", Peers: "127.0.0.1:2",
-			Incarnation: 1, Beat: 1}, time.Now())
-		o.board.Hosts.Renew(time.Now().Add(time.Hour))
+			Incarnation: 1, Heartbeat: 1}, time.Now())
+		o.board.Hosts.ResetSilence(time.Now().Add(time.Hour))
 		o.SetPeers(slowPeers{pairPeers{other}})
 		spec := o.board.Config.View().Endpoint("e")
-		if !o.Starts.owns(o.board.Config.View(), spec, time.Now()) {
+		if !o.Permits.owns(o.board.Config.View(), spec, time.Now()) {
 			t.Fatal("another host owns the endpoint")
 		}
 		for k := range 5 {
-			reply, err := o.Starts.Ask(StartArgs{Endpoint: config.NameNumber("e"), Wait: 100})
+			reply, err := o.Permits.Acquire(PermitArgs{Endpoint: config.NameNumber("e"), Wait: 100})
 			if err != nil || reply.Given || reply.InMillis != int(firstRoundDelay.Milliseconds()) {
 				t.Errorf("call %d: %+v, %v, want a retry in %s", k, reply, err, firstRoundDelay)
 			}
 			time.Sleep(time.Millisecond)
 		}
 		time.Sleep(voteInterval)
-		if reply, _ := o.Starts.Ask(StartArgs{Endpoint: config.NameNumber("e")}); reply.InMillis != int(maxRetryDelay.Milliseconds()) {
+		if reply, _ := o.Permits.Acquire(PermitArgs{Endpoint: config.NameNumber("e")}); reply.InMillis != int(maxRetryDelay.Milliseconds()) {
 			t.Errorf("%+v after a first round without votes, want a retry in %s", reply, maxRetryDelay)
 		}
 	})
@@ -158,15 +158,15 @@
 // TestStartsUnknown requests permits and votes for an endpoint that doesn't exist.
 func TestStartsUnknown(t *testing.T) {
 	o := coldOwner(t)
-	if _, err := o.Starts.Ask(StartArgs{Endpoint: 77}); err == nil {
+	if _, err := o.Permits.Acquire(PermitArgs{Endpoint: 77}); err == nil {
 		t.Error("a permit for an unknown endpoint")
 	}
-	if r := o.Starts.Vote(VoteArgs{Host: 1, Endpoints: []uint32{77}}); len(r.Given) != 1 || r.Given[0] {
+	if r := o.Permits.Vote(VoteArgs{Host: 1, Endpoints: []uint32{77}}); len(r.Given) != 1 || r.Given[0] {
 		t.Errorf("a vote for an unknown endpoint: %+v", r)
 	}
 	a := VoteArgs{Endpoints: []uint32{config.NameNumber("e")}}
-	o.Starts.recordVotes(a, 1, time.Now(), VoteReply{Given: []bool{true, true}})
-	if n, _ := o.Starts.Count(a.Endpoints[0]); n != 0 {
+	o.Permits.recordVotes(a, 1, time.Now(), VoteReply{Given: []bool{true, true}})
+	if n, _ := o.Permits.Count(a.Endpoints[0]); n != 0 {
 		t.Error("a reply with the wrong length was accepted")
 	}
 }
@@ -211,12 +211,12 @@
 		if _, err := o.board.Config.OfferRoster((&config.RosterList{Revision: 3, Endpoints: []config.Endpoint{row}}).Roster(), time.Now()); err != nil {
 			t.Fatal(err)
 		}
-		o.board.Endpoints.Fit(o.board.Config.View())
+		o.board.Endpoints.ApplyView(o.board.Config.View())
 		reply, err := o.Reserve(context.Background(), ReserveArgs{Attempt: request.Attempt{Number: 1}, Endpoint: number, Tokens: 10, MaxAnswer: 10, Spare: spare})
 		if err != nil || reply.Code != result.OK {
 			t.Fatalf("refused with %v, %v", reply.Code, err)
 		}
-		if noted := o.Starts.permits[number] != nil; noted != (spare == 0) {
+		if noted := o.Permits.permits[number] != nil; noted != (spare == 0) {
 			t.Errorf("with %d spare tokens recorded: %v", spare, noted)
 		}
 	}
@@ -240,11 +240,11 @@
 		if k < 74 {
 			domain = "d"
 		}
-		o.board.Hosts.Learn(blackboard.Host{Name: name, Number: request.HostNumber(name), Domain: domain, Region: "r", Peers: "127.0.0.1:2", Incarnation: 1, Beat: 1}, time.Now())
+		o.board.Hosts.Learn(blackboard.Host{Name: name, Number: request.HostNumber(name), Domain: domain, Region: "r", Peers: "127.0.0.1:2", Incarnation: 1, Heartbeat: 1}, time.Now())
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		if r := o.Starts.Vote(a); r.Of[9] != 75 {
+		if r := o.Permits.Vote(a); r.Of[9] != 75 {
 			b.Fatalf("%+v", r)
 		}
 	}
--- a/owner/tenure.go
+++ b/owner/tenure.go
@@ -24,7 +24,7 @@
 		}
 	}
 	return v.Roster > 0 && o.board.Hosts.Majority(now, len(o.board.Settings.Seeds)) && !o.board.Leaving() && !o.board.Pause.Check() &&
-		o.board.Config.HeardWithin(now, maxPlatformSilence)
+		o.board.Config.PlatformAnsweredWithin(now, maxPlatformSilence)
 }
 
 // tenure records since when a host has been the orderer of a runner.
@@ -42,7 +42,7 @@
 // the runner's failure domain that would own it if no host were unconfirmed. A domain without
 // hosts gets no orders: the result is 0.
 func (o *Owner) updateTenure(hosts *blackboard.Candidates, number uint32, now time.Time) (host uint32) {
-	host, ok := hosts.FirstSteady(uint64(number))
+	host, ok := hosts.FirstStable(uint64(number))
 	o.balance.mu.Lock()
 	defer o.balance.mu.Unlock()
 	if !ok {
--- a/owner/votes.go
+++ b/owner/votes.go
@@ -24,15 +24,15 @@
 	idlePermitsKept = 30 * time.Second
 )
 
-// StartsWatch returns the controller that requests the votes needed for handing out permits and
+// VoteController returns the controller that requests the votes needed for handing out permits and
 // logs when endpoints of this host turn cold or warm.
-func (o *Owner) StartsWatch() blackboard.Controller {
-	return blackboard.Every(voteInterval, func(ctx context.Context) { o.Starts.tick(ctx) })
+func (o *Owner) VoteController() blackboard.Controller {
+	return blackboard.Every(voteInterval, func(ctx context.Context) { o.Permits.tick(ctx) })
 }
 
 // tick requests votes for the owned endpoints that are cold or name a limit, or for which other
 // hosts have recently requested permits, and drops unused state.
-func (s *Starts) tick(ctx context.Context) {
+func (s *Permits) tick(ctx context.Context) {
 	v := s.board.Config.View()
 	if v == nil {
 		return
@@ -50,7 +50,7 @@
 }
 
 // relevantStates returns the states of the endpoints that may need permits from this host.
-func (s *Starts) relevantStates(now time.Time) (out []route.State) {
+func (s *Permits) relevantStates(now time.Time) (out []route.State) {
 	s.mu.Lock()
 	s.votes.DropExpired(now)
 	wanted := make(map[uint32]bool, len(s.permits))
@@ -83,7 +83,7 @@
 
 // requestVotes requests the votes of a failure domain's hosts for endpoints in it and waits for the
 // replies.
-func (s *Starts) requestVotes(ctx context.Context, domain, region string, specs []*config.Endpoint) {
+func (s *Permits) requestVotes(ctx context.Context, domain, region string, specs []*config.Endpoint) {
 	now := clock.Now()
 	hosts, alive := s.board.Hosts.Voters(domain, region, time.Now())
 	self := s.board.Hosts.Self()
@@ -119,7 +119,7 @@
 }
 
 // recordVotes records the votes of a host that were requested at the time asked.
-func (s *Starts) recordVotes(a VoteArgs, host uint32, asked time.Time, reply VoteReply) {
+func (s *Permits) recordVotes(a VoteArgs, host uint32, asked time.Time, reply VoteReply) {
 	if len(reply.Given) != len(a.Endpoints) || len(reply.Of) != len(a.Endpoints) {
 		return
 	}
@@ -133,7 +133,7 @@
 }
 
 // logColdChange logs an endpoint that has turned cold or warm.
-func (s *Starts) logColdChange(st *route.State) {
+func (s *Permits) logColdChange(st *route.State) {
 	now := time.Now()
 	isCold := st.IsCold(now)
 	s.mu.Lock()
--- a/peer/beats.go
+++ b/peer/beats.go
@@ -24,7 +24,7 @@
 
 // heartbeatOf returns a host's heartbeat as it is sent to other hosts.
 func heartbeatOf(h *blackboard.Host) Heartbeat {
-	return Heartbeat{h.Number, h.Incarnation, h.Beat, h.Leaving}
+	return Heartbeat{h.Number, h.Incarnation, h.Heartbeat, h.Leaving}
 }
 
 // heartbeats returns the heartbeats to send to another host. With changesOnly set, it returns
@@ -34,7 +34,7 @@
 	r.board.Hosts.Each(now, func(h *blackboard.Host, live bool) {
 		switch {
 		case !live || h.Incarnation == 0:
-		case now.Sub(h.Noted) >= recentChangeWindow:
+		case now.Sub(h.ChangedAt) >= recentChangeWindow:
 			others = append(others, heartbeatOf(h))
 		case h.Leaving:
 			leaving = append(leaving, heartbeatOf(h))
--- a/peer/exchange.go
+++ b/peer/exchange.go
@@ -190,7 +190,7 @@
 // host has.
 func (r *Router) merge(e ExchangeReply, now time.Time) digestAges {
 	r.introduce(e.From, now)
-	r.owner.SawFence(e.Fence)
+	r.owner.ObserveFence(e.Fence)
 	for _, n := range e.Names {
 		r.introduce(n, now)
 	}
@@ -204,11 +204,11 @@
 			continue
 		}
 		announce = announce || b.Incarnation > cur.Incarnation || b.Leaving && !cur.Leaving && b.Incarnation == cur.Incarnation
-		cur.Incarnation, cur.Beat, cur.Leaving, cur.Doubted = b.Incarnation, b.Beat, b.Leaving, false
+		cur.Incarnation, cur.Heartbeat, cur.Leaving, cur.Unconfirmed = b.Incarnation, b.Beat, b.Leaving, false
 		changed = r.board.Hosts.Learn(cur, now) || changed
 	}
 	for _, b := range e.Gone {
-		announce = r.board.Hosts.Accuse(b.Number, b.Incarnation, b.Beat, now) || announce
+		announce = r.board.Hosts.Suspect(b.Number, b.Incarnation, b.Beat, now) || announce
 	}
 	if announce {
 		changed = true
--- a/peer/exchange_test.go
+++ b/peer/exchange_test.go
@@ -28,7 +28,7 @@
 	if _, err := b.Config.OfferRoster(roster.Roster(), now); err != nil {
 		t.Fatal(err)
 	}
-	b.Endpoints.Fit(b.Config.View())
+	b.Endpoints.ApplyView(b.Config.View())
 	for _, e := range roster.Endpoints {
 		b.Endpoints.Learn(route.Digest{Number: config.NameNumber(e.Name), FreeSlots: 4}, now)
 	}
--- a/peer/fetch.go
+++ b/peer/fetch.go
@@ -127,7 +127,7 @@
 // rosterOf returns the roster of a reply, or nil if there is none to apply.
 func (r *Router) rosterOf(reply *FetchReply, from HostIdentity) *config.Roster {
 	if reply.Change != nil {
-		return r.board.Config.After(reply.Change)
+		return r.board.Config.ApplyChange(reply.Change)
 	}
 	if len(reply.Whole) == 0 {
 		return nil
--- a/peer/keys.go
+++ b/peer/keys.go
@@ -46,14 +46,14 @@
 		if h.Number == r.board.Number {
 			return r.keyBegin(ctx, a)
 		}
-		if h.Doubted {
+		if h.Unconfirmed {
 			continue
 		}
 		var reply KeyReply
 		if err := r.pool.call(ctx, h.Peers, methodKeyBegin, &a, &reply, r.timeout()); err == nil {
 			return reply, nil
 		}
-		r.board.Hosts.Doubt(h.Number)
+		r.board.Hosts.MarkUnconfirmed(h.Number)
 	}
 	return KeyReply{}, ErrOutOfReach
 }
@@ -77,7 +77,7 @@
 		var theirs KeyReply
 		if err := r.pool.call(ctx, other.Peers, methodKeyBegin, &copyArgs, &theirs, r.timeout()); err != nil {
 			r.board.Keys.End(a.Record.Key, a.Record.ID, blackboard.KeyNew, now)
-			r.board.Hosts.Doubt(other.Number)
+			r.board.Hosts.MarkUnconfirmed(other.Number)
 			return KeyReply{}, ErrOutOfReach
 		}
 		reply.TenureMillis = max(reply.TenureMillis, theirs.TenureMillis)
@@ -102,7 +102,7 @@
 		if i == keyHolders {
 			break
 		}
-		if h.Number != r.board.Number && !h.Doubted && h.Incarnation != 0 {
+		if h.Number != r.board.Number && !h.Unconfirmed && h.Incarnation != 0 {
 			return h, true
 		}
 	}
--- a/peer/limits.go
+++ b/peer/limits.go
@@ -26,8 +26,8 @@
 	Onward   []uint32 // hosts to which the receiver forwards the report
 }
 
-// Heard records the limit that an endpoint's answer to this host named.
-func (r *Router) Heard(spec *config.Endpoint, w pace.Report) {
+// ReceiveLimit records the limit that an endpoint's answer to this host named.
+func (r *Router) ReceiveLimit(spec *config.Endpoint, w pace.Report) {
 	switch r.applyLimit(spec.Name, w, "its answer") {
 	case pace.ChangeBegan, pace.ChangeEnded:
 		r.announceLimit(spec)
@@ -57,8 +57,8 @@
 	}
 }
 
-// LimitTold implements owner.Peers.
-func (r *Router) LimitTold(spec *config.Endpoint, t pace.WireReport) {
+// ReceivePeerLimit implements owner.Peers.
+func (r *Router) ReceivePeerLimit(spec *config.Endpoint, t pace.WireReport) {
 	if t.Heard {
 		r.applyLimit(spec.Name, t.Report(clock.Now()), "another host")
 	}
@@ -66,7 +66,7 @@
 
 // applyLimit records a report of an endpoint's limit and logs what changed.
 func (r *Router) applyLimit(endpoint string, w pace.Report, from string) pace.Change {
-	c := r.board.Endpoints.Hear(config.NameNumber(endpoint), clock.Now(), w)
+	c := r.board.Endpoints.ObserveLimit(config.NameNumber(endpoint), clock.Now(), w)
 	if c != pace.ChangeNone {
 		r.log.Info(c.String(), zap.String("endpoint", endpoint), zap.Float64("per_s", w.PerSecond), zap.String("from", from))
 	}
@@ -108,7 +108,7 @@
 		return
 	}
 	number, now, due := config.NameNumber(spec.Name), clock.Now(), false
-	r.board.Endpoints.Touch(number, func(s *route.State) {
+	r.board.Endpoints.Update(number, func(s *route.State) {
 		if due = now.Sub(s.LimitReportedAt) >= ownerReportInterval; due {
 			s.LimitReportedAt = now
 		}
@@ -120,13 +120,13 @@
 
 // noteLimitAnnounced records when an endpoint's limit was last announced.
 func (r *Router) noteLimitAnnounced(number uint32) {
-	r.board.Endpoints.Touch(number, func(s *route.State) { s.LimitAnnouncedAt = clock.Now() })
+	r.board.Endpoints.Update(number, func(s *route.State) { s.LimitAnnouncedAt = clock.Now() })
 }
 
 // Limit records another host's report of an endpoint's limit.
 func (s *server) Limit(a *LimitArgs, _ *Nothing) error {
 	if v := s.r.board.Config.View(); v != nil && v.Endpoints.Get(a.Endpoint) != nil {
-		s.r.LimitTold(v.Endpoints.Get(a.Endpoint), a.Limit)
+		s.r.ReceivePeerLimit(v.Endpoints.Get(a.Endpoint), a.Limit)
 		s.r.noteLimitAnnounced(a.Endpoint)
 	}
 	for _, n := range a.Onward {
--- a/peer/marks.go
+++ b/peer/marks.go
@@ -175,7 +175,7 @@
 			continue
 		}
 		for _, h := range r.board.Hosts.Order(coordinatorKey, d.Name, now) {
-			if !h.Doubted && len(hosts) < maxCoordinators {
+			if !h.Unconfirmed && len(hosts) < maxCoordinators {
 				hosts = append(hosts, h)
 			}
 		}
--- a/peer/news.go
+++ b/peer/news.go
@@ -69,7 +69,7 @@
 // ago. It announces nothing, since each host finds out by itself.
 func (r *Router) Lapser() blackboard.Controller {
 	return blackboard.Every(expiryCheckInterval, func(context.Context) {
-		endpoints, evacuations := r.board.Config.DropLapsed(time.Now())
+		endpoints, evacuations := r.board.Config.DropExpired(time.Now())
 		if endpoints+evacuations == 0 {
 			return
 		}
@@ -84,7 +84,7 @@
 func (r *Router) Offer(revision uint64, src []byte, from string) {
 	received := time.Now()
 	behind := r.board.Config.Behind(received)
-	storeAge, _ := r.board.Config.HeardFor(received)
+	storeAge, _ := r.board.Config.PlatformSilence(received)
 	accepted, err := r.board.Config.Offer(revision, src)
 	if err != nil {
 		r.log.Warn("revision not accepted", zap.Uint64("revision", revision), zap.String("from", from), zap.Error(err))
@@ -114,8 +114,8 @@
 	if v == nil {
 		return
 	}
-	r.board.Endpoints.Fit(v)
-	began, ended := r.board.Emptied.Note(v, from, time.Now())
+	r.board.Endpoints.ApplyView(v)
+	began, ended := r.board.Evacuations.Note(v, from, time.Now())
 	for _, e := range began {
 		r.log.Info("failure domain is being emptied", zap.String("domain", e.Domain), zap.Stringer("revision", e.Revision), zap.String("from", from))
 	}
--- a/peer/news_test.go
+++ b/peer/news_test.go
@@ -38,11 +38,11 @@
 		want := b.Config.View()
 		b.Endpoints.Read(func(fleet *route.Fleet) {
 			v := fleet.View
-			if v != want || fleet.Find(route.Number("e0")).Evacuated != want.Emptied(want.Endpoint("e0")) {
+			if v != want || fleet.Find(route.Number("e0")).Evacuated != want.IsEvacuated(want.Endpoint("e0")) {
 				t.Fatalf("round %d: the routing table is at roster %d, want %d", round, v.Roster, want.Roster)
 			}
 		})
-		if rows := b.Emptied.List(); len(rows) != len(want.Evacuated) || len(rows) > 0 && rows[0].Evacuation != want.Evacuated["d"] {
+		if rows := b.Evacuations.List(); len(rows) != len(want.Evacuated) || len(rows) > 0 && rows[0].Evacuation != want.Evacuated["d"] {
 			t.Fatalf("round %d: evacuations %+v, want %+v", round, rows, want.Evacuated)
 		}
 	}
--- a/peer/partner.go
+++ b/peer/partner.go
@@ -74,7 +74,7 @@
 // add adds a host of the scope.
 func (c *candidates) add(self uint32, h *blackboard.Host, live bool) {
 	c.seen++
-	isHealthy := live && !h.Doubted
+	isHealthy := live && !h.Unconfirmed
 	for i := range sampleSize {
 		if rand.IntN(c.seen) == 0 {
 			c.sampled[i], c.healthy[i] = *h, isHealthy
--- a/peer/probe.go
+++ b/peer/probe.go
@@ -33,7 +33,7 @@
 // unconfirmedHosts returns some of the unconfirmed hosts that aren't known to be gone.
 func (r *Router) unconfirmedHosts(now time.Time) (out []blackboard.Host) {
 	r.board.Hosts.Each(now, func(h *blackboard.Host, live bool) {
-		if live && h.Doubted && h.Peers != "" && len(out) < maxRecoveryChecks {
+		if live && h.Unconfirmed && h.Peers != "" && len(out) < maxRecoveryChecks {
 			out = append(out, *h)
 		}
 	})
--- a/peer/quota.go
+++ b/peer/quota.go
@@ -75,7 +75,7 @@
 // without hosts don't count, unless no host of any other domain is known.
 func (r *Router) reach(now time.Time, team uint32) quota.Reachability {
 	c := r.board.Hosts.Census(now)
-	out := quota.Reachability{HostShare: c.Part, Settled: now.Sub(c.Changed) > stableFor && r.isStableHolder(team, now)}
+	out := quota.Reachability{HostShare: c.LiveShare, Settled: now.Sub(c.Changed) > stableFor && r.isStableHolder(team, now)}
 	out.Domains = r.otherDomains(c)
 	return out
 }
@@ -97,7 +97,7 @@
 // isStableHolder reports whether this host holds a team's limit even with unconfirmed hosts
 // counted. A host that stands in for another can't know what that one has admitted.
 func (r *Router) isStableHolder(team uint32, now time.Time) bool {
-	h, ok := r.board.Hosts.FirstSteady(teamKey(team), r.board.Settings.Domain, now)
+	h, ok := r.board.Hosts.FirstStable(teamKey(team), r.board.Settings.Domain, now)
 	return ok && h.Number == r.board.Number
 }
 
@@ -108,7 +108,7 @@
 func (r *Router) Draw(ctx context.Context, t *config.Team, n float64) quota.Answer {
 	team, now := r.quotaTeam(t), time.Now()
 	c := r.board.Hosts.Census(now)
-	if c.Part >= minReachableShare && !r.metNobody(c) {
+	if c.LiveShare >= minReachableShare && !r.metNobody(c) {
 		for _, h := range r.holders(team.Number, now) {
 			if a, ok := r.drawFrom(ctx, h, team, n); ok {
 				r.board.Quotas.ObserveAnswer(time.Now(), team.Number, n, a)
@@ -135,7 +135,7 @@
 // stand in for it, without unconfirmed hosts.
 func (r *Router) holders(team uint32, now time.Time) []blackboard.Host {
 	order := r.board.Hosts.Order(teamKey(team), r.board.Settings.Domain, now)
-	order = slices.DeleteFunc(order, func(h blackboard.Host) bool { return h.Doubted })
+	order = slices.DeleteFunc(order, func(h blackboard.Host) bool { return h.Unconfirmed })
 	return order[:min(maxHolders, len(order))]
 }
 
@@ -145,7 +145,7 @@
 		return false
 	}
 	for _, a := range r.seedList() {
-		if a != r.board.Settings.PeersAt() {
+		if a != r.board.Settings.PeersAddress() {
 			return true
 		}
 	}
--- a/peer/regions.go
+++ b/peer/regions.go
@@ -22,7 +22,7 @@
 		return nil
 	}
 	if to == r.board.Settings.Region {
-		return packSummaries(r.board.Regions.Told(now))
+		return packSummaries(r.board.Regions.Summaries(now))
 	}
 	return packSummaries(r.ownSummaries(now))
 }
@@ -55,7 +55,7 @@
 // noteRoundTrip records how long an exchange with a host of another region took.
 func (r *Router) noteRoundTrip(h blackboard.Host, took time.Duration) {
 	if h.Region != "" && h.Region != r.board.Settings.Region {
-		r.board.Regions.Took(config.NameNumber(h.Region), took)
+		r.board.Regions.RecordRoundTrip(config.NameNumber(h.Region), took)
 	}
 }
 
--- a/peer/regions_test.go
+++ b/peer/regions_test.go
@@ -33,10 +33,10 @@
 		t.Fatal(err)
 	}
 	v := b.Config.View()
-	b.Endpoints.Fit(v)
+	b.Endpoints.ApplyView(v)
 	now := time.Now()
 	for _, d := range v.Doc.Domains {
-		b.Hosts.Learn(blackboard.Host{Name: d.Name, Number: request.HostNumber(d.Name), Domain: d.Name, Region: d.Region, Incarnation: 1, Beat: 1, Peers: "127.0.0.1:2"}, now)
+		b.Hosts.Learn(blackboard.Host{Name: d.Name, Number: request.HostNumber(d.Name), Domain: d.Name, Region: d.Region, Incarnation: 1, Heartbeat: 1, Peers: "127.0.0.1:2"}, now)
 	}
 	b.Endpoints.Learn(route.Digest{Number: route.Number("p")}, now)
 	b.Endpoints.Learn(route.Digest{Number: route.Number("d"), FreeTokens: 900, FreeSlots: 9}, now)
--- a/peer/releases.go
+++ b/peer/releases.go
@@ -26,7 +26,7 @@
 	r.mu.Lock()
 	r.releases[h.Peers] = append(r.releases[h.Peers], rel)
 	r.mu.Unlock()
-	if rel.Outcome == owner.GivenUp || rel.Outcome == owner.Left {
+	if rel.Outcome == owner.Abandoned || rel.Outcome == owner.CallerLeft {
 		go r.Flush(context.Background())
 	}
 }
--- a/peer/rely.go
+++ b/peer/rely.go
@@ -37,5 +37,5 @@
 	if bound := config.FractionMillis(r.board.Settings.ChangeMillis); bound > 0 {
 		maxAge, maxBehind = time.Duration(relyShare*float64(bound)), time.Duration(behindShare*float64(bound))
 	}
-	return r.board.Config.ToldWithin(now, maxAge) && r.board.Config.Behind(now) < maxBehind
+	return r.board.Config.ReportedWithin(now, maxAge) && r.board.Config.Behind(now) < maxBehind
 }
--- a/peer/router.go
+++ b/peer/router.go
@@ -88,7 +88,7 @@
 // recently.
 func (r *Router) ownerOf(spec *config.Endpoint) (h blackboard.Host, self bool, err error) {
 	h, ok := owner.Of(r.board, r.board.Config.View(), spec, time.Now())
-	if !ok || h.Doubted || h.Peers == "" || r.board.Domains.CutOff(h.Domain, time.Now()) {
+	if !ok || h.Unconfirmed || h.Peers == "" || r.board.Domains.CutOff(h.Domain, time.Now()) {
 		return h, false, ErrOutOfReach
 	}
 	return h, h.Number == r.board.Number, nil
@@ -104,7 +104,7 @@
 		return err
 	}
 	if !isTimeout(err) || r.pool.dead(h.Peers) {
-		r.board.Hosts.Doubt(h.Number)
+		r.board.Hosts.MarkUnconfirmed(h.Number)
 	}
 	if isTimeout(err) {
 		r.noteSilent(h)
@@ -115,18 +115,18 @@
 
 // noteAnswered records that a host answered.
 func (r *Router) noteAnswered(h blackboard.Host) {
-	if h.Doubted {
-		r.board.Hosts.Answered(h.Number)
+	if h.Unconfirmed {
+		r.board.Hosts.Confirm(h.Number)
 		r.board.Wake.All()
 	}
-	if r.board.Heard(h.Domain) {
+	if r.board.RecordAnswer(h.Domain) {
 		r.log.Info("failure domain back", zap.String("domain", h.Domain), zap.String("heard", h.Name))
 	}
 }
 
 // noteSilent records that a host didn't respond to a call.
 func (r *Router) noteSilent(h blackboard.Host) {
-	if r.board.Missed(h.Domain, h.Number, time.Now()) {
+	if r.board.RecordMiss(h.Domain, h.Number, time.Now()) {
 		r.log.Warn("failure domain cut off", zap.String("domain", h.Domain), zap.String("silent", h.Name))
 	}
 }
@@ -175,9 +175,9 @@
 		err = r.callWatched(ctx, h, methodEnqueue, &a, &reply, wait, r.watchTimeout(a))
 	}
 	if err != nil || reply.Code == result.CallerGone {
-		rel := owner.Release{Attempt: a.Attempt, Endpoint: a.Endpoint, Outcome: owner.GivenUp}
+		rel := owner.Release{Attempt: a.Attempt, Endpoint: a.Endpoint, Outcome: owner.Abandoned}
 		if ctx.Err() != nil {
-			rel.Outcome = owner.Left
+			rel.Outcome = owner.CallerLeft
 		}
 		r.Release(spec, rel)
 	}
@@ -255,5 +255,5 @@
 // Touched counts a request that this host sent to an endpoint (n is 1) or that ended there (n is
 // -1). The baseline policies, which have no other information, use the count.
 func (r *Router) Touched(number uint32, n int) {
-	r.board.Endpoints.Touch(number, func(s *route.State) { s.InFlight += n })
+	r.board.Endpoints.Update(number, func(s *route.State) { s.InFlight += n })
 }
--- a/peer/seed.go
+++ b/peer/seed.go
@@ -48,7 +48,7 @@
 		if live <= 1 {
 			to.Region = r.board.Settings.Region
 		} // otherwise the seed is sent no endpoint digests; its neighbours send those
-		if to.Peers != r.board.Settings.PeersAt() {
+		if to.Peers != r.board.Settings.PeersAddress() {
 			r.exchangeWith(ctx, to)
 		}
 	})
@@ -97,7 +97,7 @@
 func (r *Router) Seed(ctx context.Context, addrs []string) {
 	var wg sync.WaitGroup
 	for _, a := range addrs {
-		if a != r.board.Settings.PeersAt() {
+		if a != r.board.Settings.PeersAddress() {
 			wg.Go(func() { r.exchangeWith(ctx, blackboard.Host{Peers: a, Region: r.board.Settings.Region}) })
 		}
 	}
--- a/peer/server.go
+++ b/peer/server.go
@@ -41,7 +41,7 @@
 }
 
 func (s *server) Inherit(a *InheritArgs, reply *owner.Handover) error {
-	*reply = s.r.owner.Tell(a.Endpoint)
+	*reply = s.r.owner.Reservations(a.Endpoint)
 	return nil
 }
 
@@ -79,7 +79,9 @@
 	return nil
 }
 
-func (s *server) Handover(h *owner.Handover, _ *Nothing) error { return s.r.owner.Accept(s.ctx, *h) }
+func (s *server) Handover(h *owner.Handover, _ *Nothing) error {
+	return s.r.owner.AcceptHandover(s.ctx, *h)
+}
 
 func (s *server) Kept(a *owner.KeptArgs, reply *owner.KeptReply) error {
 	*reply = s.r.owner.Kept(s.ctx, *a)
@@ -169,7 +171,7 @@
 	now := time.Now()
 	// Read this first: if an answer arrived in between, its age would make older revisions look
 	// fresh.
-	age, ever := r.board.Config.HeardFor(now)
+	age, ever := r.board.Config.PlatformSilence(now)
 	self := r.board.Hosts.Self()
 	a := ExchangeArgs{From: HostIdentity{self.Name, self.Domain, self.Region, self.Peers}, Revision: r.board.Config.Revision(),
 		Roster: r.board.Config.RosterRevision(), Fence: r.owner.Fence(), Heads: t.heads, News: t.changesOnly, All: t.all,
@@ -177,7 +179,7 @@
 	if ever {
 		a.Heard = encodeAge(age)
 	}
-	for _, h := range r.board.Hosts.Accused(now, goneSendFor) {
+	for _, h := range r.board.Hosts.Suspected(now, goneSendFor) {
 		a.Gone = append(a.Gone, heartbeatOf(&h))
 	}
 	for _, n := range t.want {
@@ -199,7 +201,7 @@
 	for _, d := range r.owner.Digests(now) {
 		r.board.Endpoints.Learn(d, now)
 	}
-	ds := r.board.Endpoints.Digests(now, blackboard.Wanted{Domain: r.preferredDomain(t.to.Domain), MaxAge: maxDigestAge, Most: maxDigests, Lacking: t.peerAges.lacks})
+	ds := r.board.Endpoints.Digests(now, blackboard.DigestQuery{Domain: r.preferredDomain(t.to.Domain), MaxAge: maxDigestAge, Max: maxDigests, Want: t.peerAges.lacks})
 	for i := range ds {
 		ds[i].Heads = ds[i].Heads[:min(len(ds[i].Heads), maxSentHeads)]
 		if !t.heads {
--- a/peer/standing.go
+++ b/peer/standing.go
@@ -59,7 +59,7 @@
 // domainHosts returns the numbers of the other live hosts of the own failure domain, without
 // unconfirmed ones.
 func (r *Router) domainHosts(now time.Time) []uint32 {
-	return r.otherHosts(now, func(h *blackboard.Host) bool { return h.Domain == r.board.Settings.Domain && !h.Doubted })
+	return r.otherHosts(now, func(h *blackboard.Host) bool { return h.Domain == r.board.Settings.Domain && !h.Unconfirmed })
 }
 
 // otherHosts returns the numbers of the other live hosts that fits accepts.
@@ -89,7 +89,7 @@
 	for i, n := range group {
 		now := time.Now()
 		h, _, known := r.board.Hosts.Get(n, now)
-		age, confirmed := r.board.Config.HeardFor(now) // read first, as in buildExchange
+		age, confirmed := r.board.Config.PlatformSilence(now) // read first, as in buildExchange
 		if !known || !confirmed {
 			continue
 		}
@@ -132,12 +132,12 @@
 // applyStanding records which revisions another host has in force and how fresh they are (0:
 // unknown), and fetches what this host lacks.
 func (r *Router) applyStanding(peer aheadPeer, age uint32, now time.Time) {
-	if r.board.Config.HeardOf(peer.revision, peer.roster, now) {
+	if r.board.Config.ObserveRevisions(peer.revision, peer.roster, now) {
 		r.log.Info("later revision heard of", zap.Uint64("revision", peer.revision), zap.Uint64("in_force", r.board.Config.Revision()), zap.String("from", peer.from.Name))
 	}
 	// Skip this if the process was paused: the message may have arrived long before now.
 	if age > 0 && !r.isBehind(peer) && r.board.Pause.RanSince(now.Add(-r.timeout())) {
-		r.board.Config.Told(now.Add(-config.Millis(int(age - 1))))
+		r.board.Config.RecordReportedAnswer(now.Add(-config.Millis(int(age - 1))))
 	}
 	r.catchUp(peer)
 }
--- a/peer/starts.go
+++ b/peer/starts.go
@@ -44,9 +44,9 @@
 		return r.localPermit(spec)
 	}
 	asked := clock.Now()
-	args, reply := owner.StartArgs{Endpoint: config.NameNumber(spec.Name), Wait: int(a.Wait.Milliseconds()), Warm: a.Warm, Asker: a.Asker}, owner.StartReply{}
+	args, reply := owner.PermitArgs{Endpoint: config.NameNumber(spec.Name), Wait: int(a.Wait.Milliseconds()), Warm: a.Warm, Asker: a.Asker}, owner.PermitReply{}
 	if self {
-		reply, err = r.owner.Starts.Ask(args)
+		reply, err = r.owner.Permits.Acquire(args)
 	} else {
 		args.Limit = r.limitOf(spec)
 		err = r.noteOutcome(ctx, h, r.pool.call(ctx, h.Peers, methodStart, &args, &reply, min(permitTimeout, r.timeout())))
@@ -55,7 +55,7 @@
 		return r.localPermit(spec)
 	}
 	if !self {
-		r.LimitTold(spec, reply.Limit)
+		r.ReceivePeerLimit(spec, reply.Limit)
 	}
 	in := config.Millis(reply.InMillis)
 	return Start{Given: reply.Given, In: in, Back: config.Millis(reply.BackMillis), Until: asked.Add(in + pace.Lag)}
@@ -63,7 +63,7 @@
 
 // localPermit grants a permit that no other host knows of.
 func (r *Router) localPermit(spec *config.Endpoint) Start {
-	in, given := r.owner.Starts.AskAlone(spec, r.evenShare(r.board.Hosts.Census(time.Now())))
+	in, given := r.owner.Permits.AcquireIsolated(spec, r.evenShare(r.board.Hosts.Census(time.Now())))
 	if given {
 		return Start{Given: true, Until: clock.Now().Add(pace.Lag)}
 	}
@@ -84,12 +84,12 @@
 
 // Vote answers another host.
 func (s *server) Vote(a *owner.VoteArgs, reply *owner.VoteReply) error {
-	*reply = s.r.owner.Starts.Vote(*a)
+	*reply = s.r.owner.Permits.Vote(*a)
 	return nil
 }
 
 // Start answers another host.
-func (s *server) Start(a *owner.StartArgs, reply *owner.StartReply) (err error) {
-	*reply, err = s.r.owner.Starts.Ask(*a)
+func (s *server) Start(a *owner.PermitArgs, reply *owner.PermitReply) (err error) {
+	*reply, err = s.r.owner.Permits.Acquire(*a)
 	return err
 }
--- a/peer/watch.go
+++ b/peer/watch.go
@@ -46,7 +46,7 @@
 		r.mu.Lock()
 		delete(r.missedPings, h.Number)
 		r.mu.Unlock()
-		h.Incarnation, h.Beat, h.Leaving = b.Incarnation, b.Beat, b.Leaving
+		h.Incarnation, h.Heartbeat, h.Leaving = b.Incarnation, b.Beat, b.Leaving
 		r.board.Hosts.Learn(h, now)
 		return
 	}
@@ -60,7 +60,7 @@
 		delete(r.missedPings, h.Number)
 	}
 	r.mu.Unlock()
-	if gone && h.Incarnation != 0 && r.board.Hosts.Accuse(h.Number, h.Incarnation, r.lastPossibleHeartbeat(h), now) {
+	if gone && h.Incarnation != 0 && r.board.Hosts.Suspect(h.Number, h.Incarnation, r.lastPossibleHeartbeat(h), now) {
 		r.log.Warn("host is gone", zap.String("gone", h.Name), zap.Error(err))
 		r.board.Wake.All()
 		r.announceChanges()
@@ -87,5 +87,5 @@
 // watcher compared with the last one that it had seen itself, a killed host would be considered
 // live again and again.
 func (r *Router) lastPossibleHeartbeat(h blackboard.Host) uint64 {
-	return h.Beat + uint64(watchInterval/r.heartbeatInterval()) + 1
+	return h.Heartbeat + uint64(watchInterval/r.heartbeatInterval()) + 1
 }
--- a/proof/cold_test.go
+++ b/proof/cold_test.go
@@ -243,10 +243,10 @@
 		{"its owner is passed over by all others", func(s *sharedHarness) {
 			number := s.Nodes[s.ownerHost()].Board.Number
 			for _, n := range s.Nodes {
-				n.Board.Hosts.Doubt(number)
+				n.Board.Hosts.MarkUnconfirmed(number)
 			}
 		}},
-		{"its owner wakes from a pause", func(s *sharedHarness) { s.Nodes[s.ownerHost()].Owner.Starts.Wake(time.Now()) }},
+		{"its owner wakes from a pause", func(s *sharedHarness) { s.Nodes[s.ownerHost()].Owner.Permits.Reset(time.Now()) }},
 		{"all hosts are killed and restarted", func(s *sharedHarness) {
 			for i := range s.Nodes {
 				s.killHost(i)
--- a/proof/hundreds_test.go
+++ b/proof/hundreds_test.go
@@ -183,7 +183,7 @@
 		for end := time.Now().Add(window); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 			current := 0
 			for _, n := range s.Nodes {
-				current += len(n.Board.Hosts.Accused(time.Now(), window))
+				current += len(n.Board.Hosts.Suspected(time.Now(), window))
 			}
 			suspected = max(suspected, current)
 		}
@@ -215,14 +215,14 @@
 		time.Sleep(5 * time.Second)
 		for _, n := range s.Nodes {
 			for _, other := range s.Nodes[:5] {
-				n.Board.Hosts.Doubt(other.Board.Number)
+				n.Board.Hosts.MarkUnconfirmed(other.Board.Number)
 			}
 		}
 		time.Sleep(bound)
 		unconfirmed := 0
 		for _, n := range s.Nodes {
 			for _, h := range n.Board.Hosts.List() {
-				if h.Doubted {
+				if h.Unconfirmed {
 					unconfirmed++
 				}
 			}
--- a/proof/limit_test.go
+++ b/proof/limit_test.go
@@ -70,10 +70,10 @@
 		return
 	}
 	if limit >= 0 {
-		r.Heard(spec, pace.Report{Named: true, PerSecond: limit, At: clock.Now(), Born: spec.Born})
+		r.ReceiveLimit(spec, pace.Report{Named: true, PerSecond: limit, At: clock.Now(), Born: spec.Born})
 		return
 	}
-	r.Heard(spec, pace.Report{At: sent, Born: spec.Born})
+	r.ReceiveLimit(spec, pace.Report{At: sent, Born: spec.Born})
 }
 
 // finishLimited stops the calls, checks that no limitWindow got more than factor times the limit
@@ -188,7 +188,7 @@
 		time.Sleep(2 * time.Second)
 		observe := func(i int, named bool, at time.Time) {
 			n := s.Nodes[i]
-			n.Router.Heard(n.Board.Config.View().Endpoint(coldName), pace.Report{Named: named, PerSecond: limit, At: at})
+			n.Router.ReceiveLimit(n.Board.Config.View().Endpoint(coldName), pace.Report{Named: named, PerSecond: limit, At: at})
 		}
 		now := clock.Now()
 		observe(0, true, now)
--- a/proof/policy_test.go
+++ b/proof/policy_test.go
@@ -154,7 +154,7 @@
 // endpoint owners must answer more requests in time than each baseline. In virtual time the
 // figures don't depend on the machine.
 func TestAheadOfBaselines(t *testing.T) {
-	baselines := []config.PolicyMode{config.ModeLagged, config.ModeTwoChoices, config.ModeRoundRobin, config.ModeShare}
+	baselines := []config.PolicyMode{config.ModeLeastLoad, config.ModeTwoChoices, config.ModeRoundRobin, config.ModeFixedShare}
 	for _, dep := range []string{"domaskra", "paranacor"} {
 		t.Run(dep, func(t *testing.T) {
 			t.Parallel()
--- a/proof/regions_test.go
+++ b/proof/regions_test.go
@@ -121,7 +121,7 @@
 func (s *harness) crossRegionRuns() (runs uint64) {
 	for _, n := range s.Nodes {
 		for i := range regionCount {
-			runs += n.Board.Regions.Left(config.NameNumber(regionName(i)))
+			runs += n.Board.Regions.Redirected(config.NameNumber(regionName(i)))
 		}
 	}
 	return runs
@@ -216,7 +216,7 @@
 	}
 	stayed := map[string]uint64{}
 	for _, n := range s.Nodes {
-		for v, c := range n.Board.Regions.Kept() {
+		for v, c := range n.Board.Regions.NotRedirected() {
 			if c > 0 {
 				stayed[region.Verdict(v).String()] += c
 			}
--- a/publish/follow.go
+++ b/publish/follow.go
@@ -51,7 +51,7 @@
 
 	at              config.Position
 	known           config.Endpoints
-	lapsed          config.Lapsed                // the lapsed ones among known
+	lapsed          config.ExpiredEndpoints      // the lapsed ones among known
 	evacuations     map[string]config.Evacuation // by failure domain
 	storeLost       bool                         // the last call failed
 	lostSince       time.Time                    // when storeLost was set
@@ -199,7 +199,7 @@
 func (f *Follower) fromListing(before config.Endpoints, list []config.Endpoint, now time.Time) config.Endpoints {
 	rows := make([]*config.Endpoint, len(list))
 	for i, e := range list {
-		e = e.Heard(now)
+		e = e.WithLocalColdTime(now)
 		rows[i] = newer(before, &e)
 	}
 	return config.EndpointsOf(rows)
@@ -290,7 +290,7 @@
 func (f *Follower) applyChanges(c *Changes, now time.Time) (gone []*config.Endpoint) {
 	known := f.known
 	for _, e := range c.Changed {
-		e = e.Heard(now)
+		e = e.WithLocalColdTime(now)
 		known = config.Put(known, newer(known, &e))
 	}
 	for _, name := range c.Unusable {
--- a/publish/follow_test.go
+++ b/publish/follow_test.go
@@ -128,7 +128,7 @@
 		{name: "vanished endpoints register again", steps: []step{{list: all}, {removed: all[1:]}, {added: all[1:]}, {removed: all[1:2]}}, want: "a1 a3 a4 a5"},
 		{name: "the address of a vanished endpoint is taken", steps: []step{{list: all}, {removed: all[1:]},
 			{added: []string{"b2"}}, {}}, want: "a1 a3 a4 a5 b2"},
-		{name: "vanished for long", steps: []step{{list: all}, {removed: all[1:]}, {added: []string{"a6"}, after: config.LapsedKept + time.Second}}, want: "a1 a6"},
+		{name: "vanished for long", steps: []step{{list: all}, {removed: all[1:]}, {added: []string{"a6"}, after: config.ExpiryGrace + time.Second}}, want: "a1 a6"},
 		{name: "the end of a vanished endpoint is reported later", steps: []step{{list: all}, {fail: context.DeadlineExceeded}, {fail: ErrForgotten}, {list: all[3:]},
 			{removed: all[:1], after: unreliableFor + time.Second}}, want: "a2 a3 a4 a5"},
 		{name: "a peer knows more than the listing", known: all, steps: []step{{list: all[3:]}}, want: "a1 a2 a3 a4 a5"},
--- a/publish/lapse.go
+++ b/publish/lapse.go
@@ -120,7 +120,7 @@
 		known = config.Remove(known, e.Name)
 	}
 	for _, e := range f.withFreeAddress(lapsed) {
-		if !e.Expired(now) {
+		if !e.PastGrace(now) {
 			known = config.Put(known, e)
 		}
 	}
--- a/publish/words_test.go
+++ b/publish/words_test.go
@@ -152,7 +152,7 @@
 		r = m.roster.Roster()
 	}
 	if m.change != nil {
-		r = m.receiver.board.Config.After(m.change)
+		r = m.receiver.board.Config.ApplyChange(m.change)
 	}
 	if r != nil {
 		m.receiver.OfferRoster(r, "peer")
@@ -177,7 +177,7 @@
 			"down":     func(t *rapid.T) { store.down = rapid.Bool().Draw(t, "down") },
 			"follow":   func(*rapid.T) { pick("host").follow() },
 			"document": func(*rapid.T) { pick("host").applyDocument() },
-			"lapse":    func(*rapid.T) { pick("host").board.Config.DropLapsed(time.Now().Add(time.Hour)) },
+			"lapse":    func(*rapid.T) { pick("host").board.Config.DropExpired(time.Now().Add(time.Hour)) },
 			"ask": func(*rapid.T) {
 				from, to := pick("from"), pick("to")
 				m := peerAnswer{receiver: to}
--- a/roles/roles.go
+++ b/roles/roles.go
@@ -95,7 +95,7 @@
 			continue
 		}
 		role := e.Role
-		if v.Emptied(e) {
+		if v.IsEvacuated(e) {
 			t.prefillEvacuated = t.prefillEvacuated || role == config.Prefill
 			t.decodeEvacuated = t.decodeEvacuated || role == config.Decode
 			continue
@@ -115,7 +115,7 @@
 // changeable lists the engines of a role that may be ordered to change it.
 func changeable(v *config.View, pool string, role config.Role, changing func(e *config.Endpoint) bool) (out []*config.Endpoint) {
 	for _, e := range v.Endpoints.All() {
-		if isActive(e, pool) && e.Role == role && !v.Emptied(e) && !changing(e) {
+		if isActive(e, pool) && e.Role == role && !v.IsEvacuated(e) && !changing(e) {
 			out = append(out, e)
 		}
 	}
--- a/roles/roles_test.go
+++ b/roles/roles_test.go
@@ -147,7 +147,7 @@
 			v := base.WithRoster(roster.Roster())
 			surplus, to := Surplus(v, "p", none)
 			for _, e := range surplus {
-				if v.Emptied(e) {
+				if v.IsEvacuated(e) {
 					t.Fatalf("%s is in the surplus, but its domain is being evacuated", e.Name)
 				}
 				i := slices.IndexFunc(roster.Endpoints, func(o config.Endpoint) bool { return o.Name == e.Name })
@@ -159,7 +159,7 @@
 			}
 			left := 0
 			for _, e := range v.Endpoints.All() {
-				if !v.Emptied(e) {
+				if !v.IsEvacuated(e) {
 					left++
 				}
 			}
--- a/route/baseline.go
+++ b/route/baseline.go
@@ -30,7 +30,7 @@
 			return b
 		}
 		return a
-	case config.ModeLagged:
+	case config.ModeLeastLoad:
 		return slices.MinFunc(open, func(a, b *State) int { return cmp.Compare(knownLoad(a), knownLoad(b)) })
 	default:
 		return open[int(noise(r.Seed, 0)*float64(n))]
--- a/route/fleet.go
+++ b/route/fleet.go
@@ -112,7 +112,7 @@
 	if v.Doc != old.Doc {
 		f.routes = nil // they belong to the old document
 	}
-	config.Differing(old, v, func(number uint32, e *config.Endpoint) { f.replace(number, e, now) })
+	config.EachDifference(old, v, func(number uint32, e *config.Endpoint) { f.replace(number, e, now) })
 	if v.Doc != old.Doc {
 		f.rebuildRoutes()
 	}
@@ -208,7 +208,7 @@
 func (f *Fleet) newState(number uint32, e *config.Endpoint, old *State, now time.Time) *State {
 	v := f.View
 	s := &State{Number: number, Domain: max(0, v.DomainIndex(e.Domain)), Region: v.RegionSet(v.Region[e.Domain]), Role: e.Role,
-		Spec: e, Leaving: e.Leaving, Evacuated: v.Emptied(e), Owned: f.owns(number), CutOffUntil: f.cutOff[e.Domain], ColdUntil: e.ColdUntil, Notices: f.noticesFor(number, e.Born), Digest: Digest{Number: number}}
+		Spec: e, Leaving: e.Leaving, Evacuated: v.IsEvacuated(e), Owned: f.owns(number), CutOffUntil: f.cutOff[e.Domain], ColdUntil: e.ColdUntil, Notices: f.noticesFor(number, e.Born), Digest: Digest{Number: number}}
 	if p := v.Pools[e.Pool]; p != nil {
 		s.Connections = p.Connections
 	}
@@ -239,7 +239,7 @@
 // longer evacuated are assumed cold.
 func (f *Fleet) updateEvacuated(now time.Time) {
 	for _, s := range f.states {
-		evacuated := f.View.Emptied(s.Spec)
+		evacuated := f.View.IsEvacuated(s.Spec)
 		if s.Evacuated && !evacuated {
 			s.AssumeCold(now)
 		}
--- a/slope/slope.go
+++ b/slope/slope.go
@@ -82,13 +82,13 @@
 	if _, err := b.Config.Offer(v.Revision, v.Source); err != nil {
 		panic(err) // syntheticView has parsed the same document
 	}
-	b.Endpoints.Fit(b.Config.View())
+	b.Endpoints.ApplyView(b.Config.View())
 	o := owner.New(b, endpoint.NewClient(net.Dialer("z")), zap.NewNop())
 	bh := &benchHost{Router: peer.NewRouter(b, o, net.Dialer("z"), zap.NewNop()), board: b, addr: s.Peers}
 	for i := range hosts - 1 {
 		n := fmt.Sprintf("host-%d", i)
 		b.Hosts.Learn(blackboard.Host{Name: n, Number: request.HostNumber(n), Domain: "d0", Region: "r0", Peers: "127.0.0.1:9",
-			Incarnation: uint64(1_800_000_000_000 + i), Beat: uint64(100_000 + i)}, time.Now())
+			Incarnation: uint64(1_800_000_000_000 + i), Heartbeat: uint64(100_000 + i)}, time.Now())
 	}
 	bh.refreshDigests(v)
 	return bh
