--- a/endpoint/client.go
+++ b/endpoint/client.go
@@ -111,30 +111,30 @@
 
 // Call describes one attempt at one endpoint.
 type Call struct {
-	Address    string
-	Name       string // of the intended endpoint; empty: any endpoint with this address
-	Attempt    string
-	Version    string // requested model version; empty: any
-	KeepMillis int    // how long the endpoint keeps an exported prefill result
-	Team       string // team of the request; empty: none
-	Repeatable bool
+	Address          string
+	Name             string // of the intended endpoint; empty: any endpoint with this address
+	Attempt          string
+	Version          string // requested model version; empty: any
+	KeepResultMillis int    // how long the endpoint keeps an exported prefill result
+	Team             string // team of the request; empty: none
+	Repeatable       bool
 	// Called with the notices in the head of the answer, as it arrives; nil: they are
 	// ignored.
-	Hear func(Notice)
+	OnNotice func(Notice)
 }
 
 // notify passes on the notices in the head of an answer.
 func (c *Call) notify(res *http.Response) {
-	if c.Hear != nil {
-		c.Hear(parseNotice(res))
+	if c.OnNotice != nil {
+		c.OnNotice(parseNotice(res))
 	}
 }
 
 // parseNotice reads the notices in the head of an answer. An endpoint that is leaving says
 // so in its report instead.
 func parseNotice(res *http.Response) Notice {
-	n := Notice{Limit: ReadLimit(res.Header.Values(HeaderLimit)), Certain: true}
-	n.ReadRest(res.StatusCode, res.Header)
+	n := Notice{Limit: ParseLimit(res.Header.Values(HeaderLimit)), Authoritative: true}
+	n.ParseBackoff(res.StatusCode, res.Header)
 	return n
 }
 
@@ -162,7 +162,7 @@
 }
 
 // Traits implements Engine.
-func (c *Client) Traits() Traits { return Traits{ReadingRuns: true} }
+func (c *Client) Traits() Traits { return Traits{PrefillRuns: true} }
 
 // Prefill implements Engine.
 func (c *Client) Prefill(ctx context.Context, call Call, work *Work) (*PrefillAnswer, error) {
--- a/endpoint/engine.go
+++ b/endpoint/engine.go
@@ -42,17 +42,17 @@
 type Traits struct {
 	// A prefill counts as a run of its request. A request that may not be repeated is then
 	// prefilled only once.
-	ReadingRuns bool
+	PrefillRuns bool
 	// Closing the connection cancels its request, so no Abort is needed.
-	HangUpAborts bool
+	DisconnectAborts bool
 	// A decode endpoint prefills a prompt itself if it receives no exported result.
-	DecodeReads bool
+	DecodePrefills bool
 	// A decode endpoint caches the prompts it has held while it has free memory, reports
 	// them in its cache feed, and doesn't prefill them again.
-	DecodeKeeps bool
+	DecodeCaches bool
 	// Endpoints keep replicas of the KV cache of each other's runs, if their pool is
 	// configured so, and a run can resume from a replica.
-	Copies bool
+	Replicas bool
 }
 
 // Work is one request as engines receive it.
@@ -62,18 +62,18 @@
 	// plain services.
 	Origin *request.Origin
 	// The time at which the caller stops waiting, by package clock; zero: never.
-	Until time.Time
+	Deadline time.Time
 	// The id of the last event that the caller received.
-	LastMark string
+	LastEventID string
 	// The address of the endpoint that should keep a replica of the run's KV cache as it
 	// grows; empty: none.
-	Backup string
+	ReplicaAddress string
 	// The replica that the answer resumes from, as the same run; nil: it is a new run.
-	Copy *Copy
+	Replica *Replica
 }
 
-// Copy is a replica of a run's KV cache at another endpoint than the one that runs it.
-type Copy struct {
+// Replica is a replica of a run's KV cache at another endpoint than the one that runs it.
+type Replica struct {
 	Address string // of the endpoint that keeps it
 	Handle  string // by which that endpoint finds it
 }
--- a/endpoint/error.go
+++ b/endpoint/error.go
@@ -12,13 +12,13 @@
 // CallError is a failed call. MayHaveRun is its main purpose: it is false only if nothing
 // reached the endpoint, or if the endpoint vouches that it didn't run the request.
 type CallError struct {
-	Address    string
-	Status     int // HTTP status; 0 without an answer
-	MayHaveRun bool
-	Elsewhere  bool    // the address belongs to another endpoint
-	GivenUp    bool    // this side abandoned the call because of the answer's contents: the endpoint may still work on it
-	Answer     *Answer // the endpoint's answer, where the caller may see it
-	Cause      error
+	Address       string
+	Status        int // HTTP status; 0 without an answer
+	MayHaveRun    bool
+	WrongEndpoint bool    // the address belongs to another endpoint
+	Abandoned     bool    // this side abandoned the call because of the answer's contents: the endpoint may still work on it
+	Answer        *Answer // the endpoint's answer, where the caller may see it
+	Cause         error
 }
 
 // Error implements the error interface.
@@ -45,24 +45,24 @@
 	return err != nil && (!errors.As(err, &ce) || ce.MayHaveRun)
 }
 
-// Elsewhere reports whether err means that the address now belongs to another endpoint.
-func Elsewhere(err error) bool {
+// WrongEndpoint reports whether err means that the address now belongs to another endpoint.
+func WrongEndpoint(err error) bool {
 	var ce *CallError
-	return errors.As(err, &ce) && ce.Elsewhere
+	return errors.As(err, &ce) && ce.WrongEndpoint
 }
 
-// GivenUp reports whether err is a call that this side abandoned because of the answer's
+// Abandoned reports whether err is a call that this side abandoned because of the answer's
 // contents, so that the endpoint may work on it for a little longer.
-func GivenUp(err error) bool {
+func Abandoned(err error) bool {
 	var ce *CallError
-	return errors.As(err, &ce) && ce.GivenUp
+	return errors.As(err, &ce) && ce.Abandoned
 }
 
 // BrokenOff reports whether err means that the connection of a call ended before its answer
 // did, and that this side didn't close it.
 func BrokenOff(err error) bool {
 	var ce *CallError
-	if !errors.As(err, &ce) || !ce.MayHaveRun || ce.GivenUp || ce.Answer != nil {
+	if !errors.As(err, &ce) || !ce.MayHaveRun || ce.Abandoned || ce.Answer != nil {
 		return false
 	}
 	for _, ended := range []error{io.EOF, io.ErrUnexpectedEOF, io.ErrClosedPipe, syscall.ECONNRESET, syscall.EPIPE} {
@@ -79,9 +79,9 @@
 	return errors.As(err, &ce) && ce.Status == 0 && !ce.MayHaveRun
 }
 
-// Silent reports whether err means that an attempt to connect timed out. An address whose
+// ConnectTimedOut reports whether err means that an attempt to connect timed out. An address whose
 // process is gone refuses connections instead.
-func Silent(err error) bool {
+func ConnectTimedOut(err error) bool {
 	var timeout net.Error
 	return Unreachable(err) && errors.As(err, &timeout) && timeout.Timeout()
 }
--- a/endpoint/limit.go
+++ b/endpoint/limit.go
@@ -18,8 +18,8 @@
 // such as infinities and hexadecimal numbers, are not valid rates.
 const decimalDigits = "0123456789."
 
-// ReadLimit parses the values of the limit header. The lowest of several limits applies.
-func ReadLimit(values []string) (s RateLimit) {
+// ParseLimit parses the values of the limit header. The lowest of several limits applies.
+func ParseLimit(values []string) (s RateLimit) {
 	for _, v := range values {
 		v = strings.TrimSpace(v)
 		n, err := strconv.ParseFloat(v, 64)
--- a/endpoint/limit_test.go
+++ b/endpoint/limit_test.go
@@ -26,7 +26,7 @@
 		{[]string{""}, RateLimit{Unreadable: `""`}},
 		{[]string{"."}, RateLimit{Unreadable: `"."`}},
 	} {
-		if got := ReadLimit(tc.values); got != tc.want {
+		if got := ParseLimit(tc.values); got != tc.want {
 			t.Errorf("%q: %+v, want %+v", tc.values, got, tc.want)
 		}
 	}
--- a/endpoint/notice.go
+++ b/endpoint/notice.go
@@ -13,30 +13,30 @@
 	Limit RateLimit
 	// Whether the answer surely belongs to the call. Only then does an answer without a
 	// limit cancel an earlier one.
-	Certain bool
-	Leaving bool // the endpoint is about to stop
+	Authoritative bool
+	Leaving       bool // the endpoint is about to stop
 	// How long the endpoint wants no request from this host; 0: it asks for no backoff.
-	Rest           time.Duration
-	UnreadableRest string // a backoff that can't be parsed, quoted; empty: none
+	Backoff           time.Duration
+	UnreadableBackoff string // a backoff that can't be parsed, quoted; empty: none
 }
 
-// MostRest bounds the backoff that an endpoint can ask for.
-const MostRest = time.Hour
+// MaxBackoff bounds the backoff that an endpoint can ask for.
+const MaxBackoff = time.Hour
 
-// ReadRest parses the backoff that an endpoint asks for when it refuses a request. Other
+// ParseBackoff parses the backoff that an endpoint asks for when it refuses a request. Other
 // answers ask for none. The longest of several values applies. A date is relative to the
 // date of the answer.
-func (n *Notice) ReadRest(status int, h http.Header) {
+func (n *Notice) ParseBackoff(status int, h http.Header) {
 	if status != http.StatusServiceUnavailable && status != http.StatusTooManyRequests {
 		return
 	}
 	for _, v := range h.Values("Retry-After") {
 		rest, ok := parseBackoff(strings.TrimSpace(v), h.Get("Date"))
 		if !ok {
-			n.UnreadableRest = strconv.Quote(v)
+			n.UnreadableBackoff = strconv.Quote(v)
 			continue
 		}
-		n.Rest = max(n.Rest, rest)
+		n.Backoff = max(n.Backoff, rest)
 	}
 }
 
@@ -44,12 +44,12 @@
 func parseBackoff(v, date string) (time.Duration, bool) {
 	if strings.Trim(v, decimalDigits) == "" {
 		seconds, err := strconv.ParseFloat(v, 64)
-		return time.Duration(min(seconds, MostRest.Seconds()) * float64(time.Second)), err == nil
+		return time.Duration(min(seconds, MaxBackoff.Seconds()) * float64(time.Second)), err == nil
 	}
 	until, err := http.ParseTime(v)
 	if err != nil {
 		return 0, false
 	}
 	from, err := http.ParseTime(date)
-	return min(max(until.Sub(from), 0), MostRest), err == nil
+	return min(max(until.Sub(from), 0), MaxBackoff), err == nil
 }
--- a/endpoint/notice_test.go
+++ b/endpoint/notice_test.go
@@ -25,11 +25,11 @@
 		{"another failure", 500, []string{"3"}, "", 0, ""},
 		{"a success", 200, []string{"3"}, "", 0, ""},
 		{"two values", 503, []string{"3", "1"}, "", 3 * time.Second, ""},
-		{"hours", 503, []string{"86400"}, "", MostRest, ""},
-		{"a very long number", 503, []string{"99999999999999999999999999"}, "", MostRest, ""},
+		{"hours", 503, []string{"86400"}, "", MaxBackoff, ""},
+		{"a very long number", 503, []string{"99999999999999999999999999"}, "", MaxBackoff, ""},
 		{"a date", 503, []string{"Thu, 03 Dec 2026 12:00:05 GMT"}, noon, 5 * time.Second, ""},
 		{"a date that is past", 503, []string{"Thu, 03 Dec 2026 11:59:59 GMT"}, noon, 0, ""},
-		{"a date far off", 503, []string{"Fri, 04 Dec 2026 12:00:00 GMT"}, noon, MostRest, ""},
+		{"a date far off", 503, []string{"Fri, 04 Dec 2026 12:00:00 GMT"}, noon, MaxBackoff, ""},
 		{"a date in an answer without one", 503, []string{noon}, "", 0, `"` + noon + `"`},
 		{"negative", 503, []string{"-3"}, "", 0, `"-3"`},
 		{"no number", 503, []string{"soon"}, "", 0, `"soon"`},
@@ -44,9 +44,9 @@
 				h.Set("Date", tc.date)
 			}
 			var n Notice
-			n.ReadRest(tc.status, h)
-			if n.Rest != tc.rest || n.UnreadableRest != tc.unreadable {
-				t.Errorf("%v, unreadable %q; want %v, unreadable %q", n.Rest, n.UnreadableRest, tc.rest, tc.unreadable)
+			n.ParseBackoff(tc.status, h)
+			if n.Backoff != tc.rest || n.UnreadableBackoff != tc.unreadable {
+				t.Errorf("%v, unreadable %q; want %v, unreadable %q", n.Backoff, n.UnreadableBackoff, tc.rest, tc.unreadable)
 			}
 		})
 	}
--- a/endpoint/wire.go
+++ b/endpoint/wire.go
@@ -120,8 +120,8 @@
 
 	// The chunk as it is sent to the caller, and its event id, in protocols whose chunks
 	// are forwarded unchanged.
-	Raw  []byte `json:"-"`
-	Mark string `json:"-"`
+	Raw     []byte `json:"-"`
+	EventID string `json:"-"`
 }
 
 // Problem is the body of an endpoint's error response.
@@ -145,9 +145,9 @@
 	QueuedTokens int      `json:"queued_tokens"`
 	// The requests that the endpoint holds, and whether its reports include them, as those
 	// of some protocols do.
-	Held   []Running `json:"-"`
-	Lists  bool      `json:"-"`
-	Notice Notice    `json:"-"` // from the head of the report
+	Held        []Running `json:"-"`
+	ReportsHeld bool      `json:"-"`
+	Notice      Notice    `json:"-"` // from the head of the report
 }
 
 // Running is one row of an endpoint's list of the requests it holds.
--- a/entry/call.go
+++ b/entry/call.go
@@ -20,11 +20,11 @@
 // Call is a request received by a front end of another protocol. Its route is chosen by
 // host and path, and its answer is forwarded as it arrives.
 type Call struct {
-	Origin   *request.Origin // its Body is read by Serve
-	Keys     []string        // keys that identify the caller's team, as received
-	Prompt   *Prompt         // nil: the call has none
-	Left     time.Duration   // until the caller times out; 0: unknown
-	LastMark string          // id of the last event that the caller received; empty: none
+	Origin      *request.Origin // its Body is read by Serve
+	Keys        []string        // keys that identify the caller's team, as received
+	Prompt      *Prompt         // nil: the call has none
+	TimeLeft    time.Duration   // until the caller times out; 0: unknown
+	LastEventID string          // id of the last event that the caller received; empty: none
 	// Sends a refusal or failure to the caller, in its protocol.
 	Refuse func(w http.ResponseWriter, err *result.Error)
 }
@@ -139,7 +139,7 @@
 
 // newCallJob makes a job of a call.
 func (e *Entry) newCallJob(v *config.View, r *config.RouteView, team *config.Team, c *Call) *job {
-	hd := headers{team: team, priority: teamPriority(team, r), deadline: c.Left, repeatable: r.Repeatable()}
+	hd := headers{team: team, priority: teamPriority(team, r), deadline: c.TimeLeft, repeatable: r.Repeatable()}
 	if t := r.Timeout(); t > 0 && (hd.deadline == 0 || t < hd.deadline) {
 		hd.deadline = t
 	}
@@ -147,10 +147,10 @@
 	if c.Origin.ID != "" {
 		j.engineID = xxhash.Sum64String(c.Origin.ID)
 	}
-	j.work = &endpoint.Work{Origin: c.Origin, LastMark: c.LastMark}
+	j.work = &endpoint.Work{Origin: c.Origin, LastEventID: c.LastEventID}
 	j.work.Priority = j.priority
-	if c.Left > 0 {
-		j.work.Until = clock.Now().Add(c.Left)
+	if c.TimeLeft > 0 {
+		j.work.Deadline = clock.Now().Add(c.TimeLeft)
 	}
 	share := r.PickShare(j.criteria.Seed >> 32)
 	j.pool = share.Pool.Name
--- a/entry/copy.go
+++ b/entry/copy.go
@@ -29,13 +29,13 @@
 	attempt request.Attempt // holds the memory reserved for it
 }
 
-// Copies counts the decisions about replicas of answers.
-type Copies struct {
-	Begun   atomic.Uint64 // answers that started with memory reserved for a replica
-	NoRoom  atomic.Uint64 // answers that should have had a replica, but no engine had capacity
-	TakenUp atomic.Uint64 // answers resumed from a replica
-	Gone    atomic.Uint64 // answers to resume whose replica was missing
-	Tokens  atomic.Uint64 // prompt tokens whose KV cache was to be replicated
+// ReplicaCounts counts the decisions about replicas of answers.
+type ReplicaCounts struct {
+	Started      atomic.Uint64 // answers that started with memory reserved for a replica
+	NoCapacity   atomic.Uint64 // answers that should have had a replica, but no engine had capacity
+	Resumed      atomic.Uint64 // answers resumed from a replica
+	Missing      atomic.Uint64 // answers to resume whose replica was missing
+	PromptTokens atomic.Uint64 // prompt tokens whose KV cache was to be replicated
 }
 
 // replicaReserveTimeout bounds the wait for an owner to reserve memory for a replica. Hosts
@@ -52,7 +52,7 @@
 	spec, wanted := e.chooseReplica(j, p)
 	if spec == nil {
 		if wanted {
-			e.Copies.NoRoom.Add(1)
+			e.Replicas.NoCapacity.Add(1)
 		}
 		return
 	}
@@ -64,17 +64,17 @@
 	reply, err := e.owners.Reserve(limited, spec, a)
 	if err != nil || reply.Code != result.OK {
 		e.releaseReplica(j, p)
-		e.Copies.NoRoom.Add(1)
+		e.Replicas.NoCapacity.Add(1)
 		return
 	}
-	e.Copies.Begun.Add(1)
-	e.Copies.Tokens.Add(uint64(j.tokens))
+	e.Replicas.Started.Add(1)
+	e.Replicas.PromptTokens.Add(uint64(j.tokens))
 }
 
 // chooseReplica returns the endpoint that is to keep a replica of the answer, or nil.
 // wanted reports whether the answer should have one.
 func (e *Entry) chooseReplica(j *job, p *plan) (spec *config.Endpoint, wanted bool) {
-	if !e.traits.Copies {
+	if !e.traits.Replicas {
 		return nil, false
 	}
 	q, number := j.criteria, route.Number(p.decodeSpec.Name)
@@ -88,10 +88,10 @@
 		}
 		e.bindRegions(v, j, &q)
 		r := copies.Run{Repeatable: j.repeatable, PromptTokens: j.tokens, AnswerTokens: j.likelyTokens(), Engine: engine}
-		if !e.CopyPolicy.HasFreeMemory(g.Decode.All(), engine) {
+		if !e.ReplicaPolicy.HasFreeMemory(g.Decode.All(), engine) {
 			return
 		}
-		if wanted = e.CopyPolicy.Wants(r, copies.FailureRisk(g.Decode.All(), engine, q.Now)); !wanted {
+		if wanted = e.ReplicaPolicy.Wants(r, copies.FailureRisk(g.Decode.All(), engine, q.Now)); !wanted {
 			return
 		}
 		if s := copies.SelectEndpoint(g.Decode.All(), &q, r); s != nil {
@@ -137,7 +137,7 @@
 	next := e.decodeFromReplica(ctx, j, p)
 	switch {
 	case next == nil:
-		e.Copies.TakenUp.Add(1)
+		e.Replicas.Resumed.Add(1)
 		e.releaseDecode(j, p, owner.Abandoned) // part of an answer says nothing of the length of whole ones
 		j.dropLastFailure()
 		return nil
@@ -145,7 +145,7 @@
 		e.releaseDecode(j, p, outcomeOf(ctx, next))
 		return next
 	}
-	e.Copies.Gone.Add(1)
+	e.Replicas.Missing.Add(1)
 	e.logReplica(j, "no copy to go on from", first.decodeSpec, c.spec)
 	e.releaseDecode(j, p, owner.Abandoned)
 	p.decodeSpec, p.decodeAttempt = first.decodeSpec, first.decodeAttempt
@@ -156,7 +156,7 @@
 // has one, its first engine no longer works on it, and calls may be sent to the replica's
 // engine.
 func (e *Entry) canResume(ctx context.Context, j *job, p *plan, err error) bool {
-	end := copies.End{Replicated: p.replica != nil, CallerGone: ctx.Err() != nil, MayHaveRun: endpoint.MayHaveRun(err), MayStillRun: endpoint.GivenUp(err), DecodeTime: j.answerAge()}
+	end := copies.End{Replicated: p.replica != nil, CallerGone: ctx.Err() != nil, MayHaveRun: endpoint.MayHaveRun(err), MayStillRun: endpoint.Abandoned(err), DecodeTime: j.answerAge()}
 	return end.CanContinue() && j.crashCount < maxCrashesPerAttempt && e.canSendTo(ctx, j, p.replica.spec) && e.barFor(j, p.replica.spec) == route.ReasonNone && e.retryBudgets.SpendInWindow(j.pool, time.Now(), 1) &&
 		e.acquirePermit(ctx, j, p.replica.spec) == nil
 }
@@ -199,8 +199,8 @@
 	w := newWatchdog(forever, forever, cancel, func() bool { return e.isAlive(limited, at) })
 	defer w.stop()
 	number := route.Number(p.decodeSpec.Name)
-	e.owners.Touched(number, 1)
-	defer e.owners.Touched(number, -1)
+	e.owners.AddCalls(number, 1)
+	defer e.owners.AddCalls(number, -1)
 	before, began := j.reply.chunks(), time.Now()
 	r := e.beginRun(j, p.decodeSpec, quarantine.Running)
 	defer func() {
@@ -208,9 +208,9 @@
 		e.endRun(ctx, j, r, j.reply.chunks()-before, err)
 	}()
 	work := *j.work
-	work.ResumeFrom, work.Copy = j.reply.chunks(), &endpoint.Copy{Address: p.decodeSpec.Address, Handle: work.Origin.ID}
+	work.ResumeFrom, work.Replica = j.reply.chunks(), &endpoint.Replica{Address: p.decodeSpec.Address, Handle: work.Origin.ID}
 	if m := j.reply.lastEventID(); m != "" {
-		work.LastMark = m
+		work.LastEventID = m
 	}
 	s, err := e.engine.Decode(limited, e.newCall(j, p.decodeSpec, p.decodeAttempt), &work)
 	if err != nil {
--- a/entry/ends.go
+++ b/entry/ends.go
@@ -262,7 +262,7 @@
 // announceMarks sends changed failure marks to all hosts.
 func (e *Entry) announceMarks(rows []quarantine.Row) {
 	if len(rows) > 0 {
-		e.owners.TellMarks(rows)
+		e.owners.AnnounceMarks(rows)
 	}
 }
 
@@ -272,6 +272,6 @@
 		return
 	}
 	for i, r := range runs {
-		go e.owners.TrialDone(r.Request, holders[i], false)
+		go e.owners.EndProbe(r.Request, holders[i], false)
 	}
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -28,16 +28,16 @@
 	Reserve(ctx context.Context, spec *config.Endpoint, a owner.ReserveArgs) (owner.ReserveReply, error)
 	Enqueue(ctx context.Context, spec *config.Endpoint, a owner.EnqueueArgs) (owner.EnqueueReply, error)
 	Release(spec *config.Endpoint, rel owner.Release)
-	Kept(ctx context.Context, specs []*config.Endpoint, head uint32, need int) (spec *config.Endpoint, tokens int)
+	FindCached(ctx context.Context, specs []*config.Endpoint, head uint32, need int) (spec *config.Endpoint, tokens int)
 	KeyBegin(ctx context.Context, a peer.KeyArgs) (peer.KeyReply, error)
 	KeyEnd(ctx context.Context, a peer.KeyArgs)
-	Touched(number uint32, n int)
+	AddCalls(number uint32, n int)
 	Draw(ctx context.Context, t *config.Team, n float64) quota.Answer
-	GiveBack(t *config.Team, n float64)
-	Start(ctx context.Context, spec *config.Endpoint, a peer.StartAsk) peer.Start
-	Trial(ctx context.Context, a quarantine.Ask) quarantine.Reply
-	TrialDone(f request.Fingerprint, holder uint64, settled bool)
-	TellMarks(rows []quarantine.Row)
+	Refund(t *config.Team, n float64)
+	AcquirePermit(ctx context.Context, spec *config.Endpoint, a peer.StartAsk) peer.Start
+	AcquireProbe(ctx context.Context, a quarantine.Ask) quarantine.Reply
+	EndProbe(f request.Fingerprint, holder uint64, settled bool)
+	AnnounceMarks(rows []quarantine.Row)
 	ReceiveLimit(spec *config.Endpoint, w pace.Report)
 }
 
@@ -52,9 +52,9 @@
 	retryBudgets *retry.Budgets
 	sequence     atomic.Uint64 // for round robin and random seeds
 	Latency      LatencyRecorder
-	Copies       Copies
+	Replicas     ReplicaCounts
 	// Decides which answers get a replica of their KV cache. Set before the entry serves.
-	CopyPolicy    copies.Policy
+	ReplicaPolicy copies.Policy
 	logLimiter    *lineLimiter
 	retryTimes    *retry.Delay
 	started       time.Time
@@ -63,8 +63,8 @@
 	deadlines     deadlines
 	unreadableLog logThrottle
 
-	Unstarted atomic.Uint64 // calls that got no start permit in time
-	Heard     Heard
+	WithoutPermit atomic.Uint64 // calls that got no start permit in time
+	NoticeCounts  NoticeCounts
 }
 
 // New returns an entry over the board.
--- a/entry/finish.go
+++ b/entry/finish.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// Limited returns a server for h with the limits that hold for every caller.
-func Limited(h http.Handler, headerBytes int) *http.Server {
+// NewServer returns a server for h with the limits that hold for every caller.
+func NewServer(h http.Handler, headerBytes int) *http.Server {
 	return &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: headerBytes}
 }
 
--- a/entry/heard.go
+++ b/entry/heard.go
@@ -14,14 +14,14 @@
 	"github.com/embercove/embercove/route"
 )
 
-// Heard counts this host's calls to endpoints that had sent notices about themselves, and
+// NoticeCounts counts this host's calls to endpoints that had sent notices about themselves, and
 // the notices that can't be parsed.
-type Heard struct {
-	Limited   atomic.Uint64 // calls to endpoints that had named a limit
-	Leaving   atomic.Uint64 // calls to endpoints that had told this host that they are leaving
-	Resting   atomic.Uint64 // calls to endpoints that had asked this host to back off
-	BadLimits atomic.Uint64 // limits that can't be parsed
-	BadRests  atomic.Uint64 // backoffs that can't be parsed
+type NoticeCounts struct {
+	Limited     atomic.Uint64 // calls to endpoints that had named a limit
+	Leaving     atomic.Uint64 // calls to endpoints that had told this host that they are leaving
+	BackingOff  atomic.Uint64 // calls to endpoints that had asked this host to back off
+	BadLimits   atomic.Uint64 // limits that can't be parsed
+	BadBackoffs atomic.Uint64 // backoffs that can't be parsed
 }
 
 // noticeHandler returns the function that handles the notices in the answer to a call that
@@ -39,16 +39,16 @@
 func (e *Entry) countNotices(spec *config.Endpoint, now time.Time) {
 	e.board.Endpoints.Find(route.Number(spec.Name), func(_ *config.View, s *route.State) {
 		if s.Limit.Report().Named {
-			e.Heard.Limited.Add(1)
+			e.NoticeCounts.Limited.Add(1)
 		}
 		if s.Notices == nil {
 			return
 		}
 		if s.Notices.Leaving {
-			e.Heard.Leaving.Add(1)
+			e.NoticeCounts.Leaving.Add(1)
 		}
 		if now.Before(s.Notices.BackoffUntil) {
-			e.Heard.Resting.Add(1)
+			e.NoticeCounts.BackingOff.Add(1)
 		}
 	})
 }
@@ -58,10 +58,10 @@
 	s := n.Limit
 	switch {
 	case s.Unreadable != "":
-		e.recordUnreadable(&e.Heard.BadLimits, "endpoint names a limit that can't be read", spec, s.Unreadable)
+		e.recordUnreadable(&e.NoticeCounts.BadLimits, "endpoint names a limit that can't be read", spec, s.Unreadable)
 	case s.Named:
 		e.owners.ReceiveLimit(spec, pace.Report{Named: true, PerSecond: s.PerSecond, At: clock.Now(), Born: spec.Born})
-	case n.Certain:
+	case n.Authoritative:
 		e.owners.ReceiveLimit(spec, pace.Report{At: sent, Born: spec.Born})
 	}
 }
@@ -69,15 +69,15 @@
 // receiveNotice records that an endpoint is leaving, or wants no request from this host for
 // some time.
 func (e *Entry) receiveNotice(spec *config.Endpoint, n endpoint.Notice, sent time.Time) {
-	if n.UnreadableRest != "" {
-		e.recordUnreadable(&e.Heard.BadRests, "endpoint asks for a rest that can't be read", spec, n.UnreadableRest)
+	if n.UnreadableBackoff != "" {
+		e.recordUnreadable(&e.NoticeCounts.BadBackoffs, "endpoint asks for a rest that can't be read", spec, n.UnreadableBackoff)
 	}
-	c := e.board.Endpoints.ObserveNotice(route.Number(spec.Name), route.Notice{Leaving: n.Leaving, Backoff: n.Rest, Started: spec.Born, CalledAt: sent, ReceivedAt: time.Now()})
+	c := e.board.Endpoints.ObserveNotice(route.Number(spec.Name), route.Notice{Leaving: n.Leaving, Backoff: n.Backoff, Started: spec.Born, CalledAt: sent, ReceivedAt: time.Now()})
 	if c.NewlyLeaving {
 		e.log.Info("endpoint says that it leaves", zap.String("endpoint", spec.Name), zap.String("address", spec.Address))
 	}
 	if c.NewBackoff {
-		e.log.Info("endpoint asks this host for rest", zap.String("endpoint", spec.Name), zap.Duration("rest", n.Rest))
+		e.log.Info("endpoint asks this host for rest", zap.String("endpoint", spec.Name), zap.Duration("rest", n.Backoff))
 	}
 }
 
--- a/entry/kept.go
+++ b/entry/kept.go
@@ -15,20 +15,20 @@
 const minCachedShare = 0.7
 
 // resumes reports whether the caller has the beginning of the answer already.
-func (j *job) resumes() bool { return j.work.LastMark != "" || j.reply.chunks() > 0 }
+func (j *job) resumes() bool { return j.work.LastEventID != "" || j.reply.chunks() > 0 }
 
 // placeOnCached places a request whose answer was broken off on the decode engine that
 // still has its prompt cached, if there is one with capacity. Nothing is prefilled or
 // transferred again.
 func (e *Entry) placeOnCached(ctx context.Context, j *job) *plan {
-	if !e.traits.DecodeKeeps || !j.criteria.HasHead || !j.resumes() {
+	if !e.traits.DecodeCaches || !j.criteria.HasHead || !j.resumes() {
 		return nil
 	}
 	specs := e.openDecodes(j)
 	if len(specs) == 0 {
 		return nil
 	}
-	spec, tokens := e.owners.Kept(ctx, specs, j.criteria.Head, int(minCachedShare*float64(j.tokens)))
+	spec, tokens := e.owners.FindCached(ctx, specs, j.criteria.Head, int(minCachedShare*float64(j.tokens)))
 	if spec == nil {
 		return nil
 	}
--- a/entry/late.go
+++ b/entry/late.go
@@ -42,10 +42,10 @@
 	}
 }
 
-// EndLate ends the requests whose deadlines have passed. It must be called after a pause:
+// CancelExpired ends the requests whose deadlines have passed. It must be called after a pause:
 // otherwise, after 10 s of suspension, a request with 3 s left stayed at its endpoint for 3
 // s more.
-func (e *Entry) EndLate() {
+func (e *Entry) CancelExpired() {
 	now := clock.Now()
 	e.deadlines.mu.Lock()
 	defer e.deadlines.mu.Unlock()
--- a/entry/leaving_test.go
+++ b/entry/leaving_test.go
@@ -97,7 +97,7 @@
 	}
 }
 
-func (s *leavingScene) Traits() endpoint.Traits { return endpoint.Traits{HangUpAborts: true} }
+func (s *leavingScene) Traits() endpoint.Traits { return endpoint.Traits{DisconnectAborts: true} }
 
 func (s *leavingScene) Enqueue(ctx context.Context, spec *config.Endpoint, a owner.EnqueueArgs) (owner.EnqueueReply, error) {
 	s.leaveNow(atEnqueue, spec.Name)
--- a/entry/lines.go
+++ b/entry/lines.go
@@ -71,8 +71,8 @@
 	return logKept
 }
 
-// LinesLeftOut returns how many log lines of requests were dropped.
-func (e *Entry) LinesLeftOut() uint64 {
+// LogLinesDropped returns how many log lines of requests were dropped.
+func (e *Entry) LogLinesDropped() uint64 {
 	e.logLimiter.mu.Lock()
 	defer e.logLimiter.mu.Unlock()
 	return e.logLimiter.dropped
--- a/entry/place.go
+++ b/entry/place.go
@@ -186,7 +186,7 @@
 		}
 	}
 	j.criteria.Exclude = excluded
-	if last == nil && e.traits.DecodeReads {
+	if last == nil && e.traits.DecodePrefills {
 		return e.placeDecodeOnly(ctx, j)
 	}
 	if last == nil {
--- a/entry/place_test.go
+++ b/entry/place_test.go
@@ -62,7 +62,7 @@
 	s.note("%s released", spec.Role)
 }
 
-func (s *stubOwners) Kept(context.Context, []*config.Endpoint, uint32, int) (*config.Endpoint, int) {
+func (s *stubOwners) FindCached(context.Context, []*config.Endpoint, uint32, int) (*config.Endpoint, int) {
 	return nil, 0
 }
 
@@ -72,22 +72,22 @@
 
 func (s *stubOwners) KeyEnd(context.Context, peer.KeyArgs) {}
 
-func (s *stubOwners) Touched(uint32, int) {}
+func (s *stubOwners) AddCalls(uint32, int) {}
 
 func (s *stubOwners) Draw(context.Context, *config.Team, float64) quota.Answer {
 	return quota.Answer{OK: true}
 }
 
-func (s *stubOwners) GiveBack(*config.Team, float64) {}
+func (s *stubOwners) Refund(*config.Team, float64) {}
 
-func (s *stubOwners) Trial(context.Context, quarantine.Ask) quarantine.Reply {
+func (s *stubOwners) AcquireProbe(context.Context, quarantine.Ask) quarantine.Reply {
 	return quarantine.Reply{Verdict: quarantine.Suspect, Granted: true}
 }
-func (s *stubOwners) TrialDone(request.Fingerprint, uint64, bool) {}
-func (s *stubOwners) TellMarks([]quarantine.Row)                  {}
-func (s *stubOwners) ReceiveLimit(*config.Endpoint, pace.Report)  {}
+func (s *stubOwners) EndProbe(request.Fingerprint, uint64, bool) {}
+func (s *stubOwners) AnnounceMarks([]quarantine.Row)             {}
+func (s *stubOwners) ReceiveLimit(*config.Endpoint, pace.Report) {}
 
-func (s *stubOwners) Start(context.Context, *config.Endpoint, peer.StartAsk) peer.Start {
+func (s *stubOwners) AcquirePermit(context.Context, *config.Endpoint, peer.StartAsk) peer.Start {
 	return peer.Start{Given: true, Until: time.Now().Add(time.Second)}
 }
 
--- a/entry/quota.go
+++ b/entry/quota.go
@@ -42,6 +42,6 @@
 // once, for what it asked: ending early or running again changes nothing.
 func (e *Entry) refundQuota(j *job, code result.Code) {
 	if j.quotaDrawn > 0 && code.NotRun() {
-		e.owners.GiveBack(j.team, j.quotaDrawn)
+		e.owners.Refund(j.team, j.quotaDrawn)
 	}
 }
--- a/entry/read.go
+++ b/entry/read.go
@@ -42,16 +42,16 @@
 		r.Open = append(r.Open, p.prefillAttempt.Number)
 	})
 	j.prefillName = p.prefillSpec.Name
-	undo := j.markRun(e.traits.ReadingRuns)
+	undo := j.markRun(e.traits.PrefillRuns)
 	limited, cancel := context.WithTimeout(ctx, e.prefillTimeout(p))
 	defer cancel()
 	j.prefillCalls++
 	began := time.Now()
 	number := route.Number(p.prefillSpec.Name)
-	e.owners.Touched(number, 1)
+	e.owners.AddCalls(number, 1)
 	r := e.beginRun(j, p.prefillSpec, quarantine.Prefilling)
 	ans, err := e.engine.Prefill(limited, e.newCall(j, p.prefillSpec, p.prefillAttempt), j.work)
-	e.owners.Touched(number, -1)
+	e.owners.AddCalls(number, -1)
 	e.recordCall(ctx, j, p.prefillSpec, blackboard.PhasePrefill, err, time.Since(began))
 	e.endRun(ctx, j, r, 0, err)
 	rel := owner.Release{Attempt: p.prefillAttempt, Endpoint: number, Millis: ms(time.Since(began))}
@@ -79,7 +79,7 @@
 		e.abort(p.prefillSpec, p.prefillAttempt)
 	}
 	failed := e.callFailure(p.prefillSpec, err)
-	failed.mayHaveRun = failed.mayHaveRun && e.traits.ReadingRuns
+	failed.mayHaveRun = failed.mayHaveRun && e.traits.PrefillRuns
 	if !failed.mayHaveRun {
 		failed.refusal.Code = result.EndpointRefused
 	}
@@ -104,7 +104,7 @@
 // prefillTimeout returns how long a prefill may take. Where a prefill isn't a run, another
 // engine may be asked soon.
 func (e *Entry) prefillTimeout(p *plan) time.Duration {
-	if e.traits.ReadingRuns {
+	if e.traits.PrefillRuns {
 		return prefillTimeoutBase + prefillTimeoutFactor*p.PrefillDuration
 	}
 	return repeatableTimeoutBase + prefillTimeoutFactor*(p.PrefillDuration+p.QueueDuration)
@@ -121,7 +121,7 @@
 	sight := route.OutcomeCompleted
 	switch {
 	case err == nil:
-	case endpoint.Elsewhere(err), endpoint.Unreachable(err):
+	case endpoint.WrongEndpoint(err), endpoint.Unreachable(err):
 		sight = route.OutcomeUnreachable
 	case !endpoint.MayHaveRun(err):
 		sight = route.OutcomeFull
@@ -134,7 +134,7 @@
 	switch {
 	case endpoint.Answered(err) && e.board.RecordAnswer(spec.Domain):
 		e.log.Info("failure domain back", zap.String("domain", spec.Domain), zap.String("heard", spec.Name))
-	case endpoint.Silent(err) && e.board.RecordMiss(spec.Domain, number, now):
+	case endpoint.ConnectTimedOut(err) && e.board.RecordMiss(spec.Domain, number, now):
 		e.log.Warn("failure domain cut off", zap.String("domain", spec.Domain), zap.String("silent", spec.Name))
 	}
 }
@@ -164,7 +164,7 @@
 
 func (e *Entry) newCall(j *job, spec *config.Endpoint, a request.Attempt) endpoint.Call {
 	call := endpoint.Call{Address: spec.Address, Attempt: a.String(), Name: spec.Name, Version: j.view.WantVersion(spec), Repeatable: j.repeatable,
-		KeepMillis: spec.ResultKeepMillis, Hear: e.noticeHandler(spec)}
+		KeepResultMillis: spec.ResultKeepMillis, OnNotice: e.noticeHandler(spec)}
 	if j.team != defaultTeam {
 		call.Team = j.team.Name
 	}
@@ -197,7 +197,7 @@
 // abort cancels an attempt at an endpoint that may hold memory for it. It doesn't wait; if
 // the call is lost, the endpoint's owner finds the attempt.
 func (e *Entry) abort(spec *config.Endpoint, a request.Attempt) {
-	if e.traits.HangUpAborts {
+	if e.traits.DisconnectAborts {
 		return
 	}
 	go func() {
--- a/entry/relay.go
+++ b/entry/relay.go
@@ -32,8 +32,8 @@
 	w := newWatchdog(e.firstStallLimit(j, p), e.maxSilence(j), cancel, func() bool { return e.isAlive(limited, at) })
 	defer w.stop()
 	number := route.Number(p.decodeSpec.Name)
-	e.owners.Touched(number, 1)
-	defer e.owners.Touched(number, -1)
+	e.owners.AddCalls(number, 1)
+	defer e.owners.AddCalls(number, -1)
 	before, began := j.reply.chunks(), time.Now()
 	r := e.beginRun(j, p.decodeSpec, quarantine.Running)
 	defer func() {
@@ -59,10 +59,10 @@
 	work := *j.work
 	work.ResumeFrom, work.Transfer = j.reply.chunks(), kv
 	if p.replica != nil {
-		work.Backup = p.replica.spec.Address
+		work.ReplicaAddress = p.replica.spec.Address
 	}
 	if m := j.reply.lastEventID(); m != "" {
-		work.LastMark = m
+		work.LastEventID = m
 	}
 	s, err := e.engine.Decode(limited, e.newCall(j, p.decodeSpec, p.decodeAttempt), &work)
 	if err != nil {
@@ -101,7 +101,7 @@
 // gains nothing for a request that can't be sent again, not even with a replica: before the
 // first chunk there is nothing to resume from (copies.FirstPart).
 func (e *Entry) firstStallLimit(j *job, p *plan) time.Duration {
-	if !e.traits.ReadingRuns && !j.repeatable {
+	if !e.traits.PrefillRuns && !j.repeatable {
 		return forever
 	}
 	return time.Duration(e.board.Settings.StallMillis)*time.Millisecond + p.TransferDuration
@@ -111,10 +111,10 @@
 // answer can resume elsewhere, an engine that is silent for longer than expected is asked
 // whether it is alive.
 func (e *Entry) laterStallLimit(j *job, p *plan) time.Duration {
-	if p.replica == nil && !j.repeatable && !e.traits.ReadingRuns {
+	if p.replica == nil && !j.repeatable && !e.traits.PrefillRuns {
 		return forever
 	}
-	if !e.traits.HangUpAborts {
+	if !e.traits.DisconnectAborts {
 		return tokenStall
 	}
 	return copies.SilenceLimit(time.Duration(p.decodeSpec.TokensPerEvent()) * e.typicalStep(j))
@@ -160,7 +160,7 @@
 		}
 		if !w.answering {
 			w.answerBegun(e.laterStallLimit(j, p))
-			w.checksLiveness.Store(e.traits.HangUpAborts)
+			w.checksLiveness.Store(e.traits.DisconnectAborts)
 			e.setPhase(j, blackboard.PhaseDecode, nil)
 		}
 		w.progress()
@@ -172,11 +172,11 @@
 		inv.Check(c.ID == p.decodeAttempt.String(), invariant.OwnAnswer, "request %s: chunk of %s in attempt %s", j.id, c.ID, p.decodeAttempt)
 		j.reply.sendHead(s.Head())
 		if err := j.reply.sendChunk(c); err != nil {
-			return &endpoint.CallError{Address: p.decodeSpec.Address, MayHaveRun: true, GivenUp: true, Cause: err}
+			return &endpoint.CallError{Address: p.decodeSpec.Address, MayHaveRun: true, Abandoned: true, Cause: err}
 		}
 	}
 }
 
 func brokenAnswer(p *plan, cause string) error {
-	return &endpoint.CallError{Address: p.decodeSpec.Address, MayHaveRun: true, GivenUp: true, Cause: errors.New(cause)}
+	return &endpoint.CallError{Address: p.decodeSpec.Address, MayHaveRun: true, Abandoned: true, Cause: errors.New(cause)}
 }
--- a/entry/reply.go
+++ b/entry/reply.go
@@ -73,7 +73,7 @@
 	}
 	p.last = now
 	p.sent++
-	p.eventID = c.Mark
+	p.eventID = c.EventID
 	if _, err := p.w.Write(c.Raw); err != nil {
 		return err
 	}
--- a/entry/service.go
+++ b/entry/service.go
@@ -191,8 +191,8 @@
 	undo := j.markRun(true)
 	j.decodeCalls++
 	number := route.Number(spec.Name)
-	e.owners.Touched(number, 1)
-	defer e.owners.Touched(number, -1)
+	e.owners.AddCalls(number, 1)
+	defer e.owners.AddCalls(number, -1)
 	began := time.Now()
 	r := e.beginRun(j, spec, quarantine.Running)
 	defer func() {
--- a/entry/start.go
+++ b/entry/start.go
@@ -66,7 +66,7 @@
 
 // requestPermit asks the owner for a permit that is valid within wait.
 func (e *Entry) requestPermit(ctx context.Context, j *job, spec *config.Endpoint, b route.Reason, wait time.Duration) peer.Start {
-	s := e.owners.Start(ctx, spec, peer.StartAsk{Wait: max(0, wait), Warm: b == route.ReasonLimited,
+	s := e.owners.AcquirePermit(ctx, spec, peer.StartAsk{Wait: max(0, wait), Warm: b == route.ReasonLimited,
 		Asker: pace.Requester{Team: j.teamNumber, Priority: j.priority}})
 	if !s.Given {
 		s.In = max(s.In, minPermitRetry)
@@ -124,7 +124,7 @@
 	e.board.Endpoints.Update(route.Number(spec.Name), func(st *route.State) {
 		st.NoPermitUntil, st.RetryAt = now.Add(max(minPermitRetry, s.In-wait)), now.Add(max(s.In, s.Back))
 	})
-	e.Unstarted.Add(1)
+	e.WithoutPermit.Add(1)
 	refusal := result.Errorf(barCode(b), "%s: %s", spec.Name, b).After(max(s.In, s.Back))
 	e.logRefused(j, spec, "start", refusal, 0)
 	return &retryable{endpointName: spec.Name, notSent: true, bar: b, refusal: refusal}
--- a/entry/start_test.go
+++ b/entry/start_test.go
@@ -26,7 +26,7 @@
 	permitsBefore int          // permits before the step atPermit
 }
 
-func (s *coldScene) Start(_ context.Context, spec *config.Endpoint, _ peer.StartAsk) peer.Start {
+func (s *coldScene) AcquirePermit(_ context.Context, spec *config.Endpoint, _ peer.StartAsk) peer.Start {
 	s.callOrder = append(s.callOrder, "permit at "+spec.Name)
 	if s.permitsBefore--; s.permitsBefore < 0 {
 		s.leaveNow(atPermit, spec.Name)
@@ -119,7 +119,7 @@
 type replicaEngine struct{ *coldScene }
 
 func (replicaEngine) Traits() endpoint.Traits {
-	return endpoint.Traits{HangUpAborts: true, Copies: true}
+	return endpoint.Traits{DisconnectAborts: true, Replicas: true}
 }
 
 // TestStartBeforeCall checks that nothing is requested between the permit for a cold engine
--- a/entry/suspect.go
+++ b/entry/suspect.go
@@ -133,7 +133,7 @@
 			return false, refusal
 		}
 		a.Request, a.Holder = j.fingerprint, j.probeHolder()
-		reply := e.owners.Trial(ctx, a)
+		reply := e.owners.AcquireProbe(ctx, a)
 		j.probing = j.probing || reply.Granted
 		j.criteria.Probe = j.probing
 		if reply.Granted || reply.Elsewhere {
@@ -194,7 +194,7 @@
 		return
 	}
 	j.settled = true
-	go e.owners.TrialDone(j.fingerprint, j.probeHolder(), true)
+	go e.owners.EndProbe(j.fingerprint, j.probeHolder(), true)
 }
 
 // endProbe ends the job's probe, if it has one.
@@ -203,5 +203,5 @@
 		return
 	}
 	j.probing, j.settled, j.criteria.Probe = false, false, false
-	go e.owners.TrialDone(j.fingerprint, j.probeHolder(), false)
+	go e.owners.EndProbe(j.fingerprint, j.probeHolder(), false)
 }
--- a/entry/trial_test.go
+++ b/entry/trial_test.go
@@ -31,7 +31,7 @@
 	busyProbes int // requests for a probe at a decode engine that find another suspected request there
 }
 
-func (s *probeScene) Trial(_ context.Context, a quarantine.Ask) quarantine.Reply {
+func (s *probeScene) AcquireProbe(_ context.Context, a quarantine.Ask) quarantine.Reply {
 	reply := quarantine.Reply{Verdict: quarantine.Suspect, Granted: true}
 	if a.Endpoint != 0 && a.Stage == quarantine.Running && s.busyProbes > 0 {
 		s.busyProbes--
--- a/entry/write.go
+++ b/entry/write.go
@@ -67,7 +67,7 @@
 			return asResult(ctx.Err())
 		case j.reply.chunks() > before: // chunks were relayed: the result is used up
 			return e.callFailure(p.decodeSpec, err)
-		case endpoint.Unreachable(err), endpoint.Elsewhere(err):
+		case endpoint.Unreachable(err), endpoint.WrongEndpoint(err):
 			e.moveDecode(ctx, j, p, owner.Failed, true)
 		case !endpoint.MayHaveRun(err) && p.promptCached:
 			e.releaseDecode(j, p, owner.Rejected)
@@ -126,7 +126,7 @@
 // another like it, so it can hardly have refused it as full. Where a prefill counts as a
 // run, the prompt isn't prefilled again in any case.
 func (e *Entry) resultMayBeLost(j *job, p *plan, kv *endpoint.Transfer) (hasCapacity bool) {
-	if kv == nil || !p.reserved || e.traits.ReadingRuns {
+	if kv == nil || !p.reserved || e.traits.PrefillRuns {
 		return false
 	}
 	e.board.Endpoints.Update(route.Number(p.decodeSpec.Name), func(s *route.State) {
@@ -224,7 +224,7 @@
 // would hardly find more capacity.
 func (e *Entry) wastedPrefill(j *job, p *plan, err error) error {
 	spec := p.orLastDecode(p.decodeSpec)
-	if !e.traits.ReadingRuns && !j.possiblyRan {
+	if !e.traits.PrefillRuns && !j.possiblyRan {
 		return result.Errorf(result.NoDecodeMemory, "%s and others had no decode memory after the prefill", spec.Name).After(time.Second)
 	}
 	r := e.callFailure(spec, err)
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -79,36 +79,36 @@
 		{"starts_given", "starts at endpoints that are cold or name a limit, given out by this host", true, func() float64 { return float64(n.Owner.Permits.Given.Load()) }},
 		{"starts_refused", "asks for a start that this host refused", true, func() float64 { return float64(n.Owner.Permits.Refused.Load()) }},
 		{"starts_alone", "starts that this host gave itself while an endpoint's owner was out of reach", true, func() float64 { return float64(n.Owner.Permits.Isolated.Load()) }},
-		{"calls_unstarted", "calls of this host for which there was no start in time", true, func() float64 { return float64(n.entry.Unstarted.Load()) }},
-		{"calls_limited", "calls of this host to endpoints that named a limit", true, func() float64 { return float64(n.entry.Heard.Limited.Load()) }},
-		{"calls_leaving", "calls of this host to endpoints that had told it that they leave", true, func() float64 { return float64(n.entry.Heard.Leaving.Load()) }},
-		{"calls_resting", "calls of this host to endpoints that wanted no request of it", true, func() float64 { return float64(n.entry.Heard.Resting.Load()) }},
-		{"limits_unreadable", "limits that endpoints named and that can't be read", true, func() float64 { return float64(n.entry.Heard.BadLimits.Load()) }},
-		{"rests_unreadable", "rests that endpoints asked for and that can't be read", true, func() float64 { return float64(n.entry.Heard.BadRests.Load()) }},
+		{"calls_unstarted", "calls of this host for which there was no start in time", true, func() float64 { return float64(n.entry.WithoutPermit.Load()) }},
+		{"calls_limited", "calls of this host to endpoints that named a limit", true, func() float64 { return float64(n.entry.NoticeCounts.Limited.Load()) }},
+		{"calls_leaving", "calls of this host to endpoints that had told it that they leave", true, func() float64 { return float64(n.entry.NoticeCounts.Leaving.Load()) }},
+		{"calls_resting", "calls of this host to endpoints that wanted no request of it", true, func() float64 { return float64(n.entry.NoticeCounts.BackingOff.Load()) }},
+		{"limits_unreadable", "limits that endpoints named and that can't be read", true, func() float64 { return float64(n.entry.NoticeCounts.BadLimits.Load()) }},
+		{"rests_unreadable", "rests that endpoints asked for and that can't be read", true, func() float64 { return float64(n.entry.NoticeCounts.BadBackoffs.Load()) }},
 		{"orders_sent", "orders sent to endpoints", true, func() float64 { return float64(n.Owner.Orders.Load()) }},
 		{"takeovers", "endpoints taken over", true, func() float64 { return float64(n.Owner.Takeovers.Load()) }},
-		{"copies_begun", "answers that began with a place for a copy of their memory", true, func() float64 { return float64(n.entry.Copies.Begun.Load()) }},
-		{"copies_without_room", "answers that should have had a copy and for which no engine had room", true, func() float64 { return float64(n.entry.Copies.NoRoom.Load()) }},
-		{"copies_taken_up", "answers that went on from a copy and ended whole", true, func() float64 { return float64(n.entry.Copies.TakenUp.Load()) }},
-		{"copies_gone", "answers that were to go on from a copy that was not there", true, func() float64 { return float64(n.entry.Copies.Gone.Load()) }},
-		{"copied_prompt_tokens", "tokens of prompts whose memory was to be copied", true, func() float64 { return float64(n.entry.Copies.Tokens.Load()) }},
+		{"copies_begun", "answers that began with a place for a copy of their memory", true, func() float64 { return float64(n.entry.Replicas.Started.Load()) }},
+		{"copies_without_room", "answers that should have had a copy and for which no engine had room", true, func() float64 { return float64(n.entry.Replicas.NoCapacity.Load()) }},
+		{"copies_taken_up", "answers that went on from a copy and ended whole", true, func() float64 { return float64(n.entry.Replicas.Resumed.Load()) }},
+		{"copies_gone", "answers that were to go on from a copy that was not there", true, func() float64 { return float64(n.entry.Replicas.Missing.Load()) }},
+		{"copied_prompt_tokens", "tokens of prompts whose memory was to be copied", true, func() float64 { return float64(n.entry.Replicas.PromptTokens.Load()) }},
 		{"pauses", "pauses of the process that were noticed", true, func() float64 { return float64(n.Board.Pause.Count()) }},
 		{"suspended_seconds", "for which the machine was suspended since the process started", true, func() float64 { return clock.Suspended().Seconds() }},
-		{"requests_good", "requests answered within both targets", true, func() float64 { return float64(n.Record.Sum().Good) }},
+		{"requests_good", "requests answered within both targets", true, func() float64 { return float64(n.Record.Totals().Good) }},
 		{"requests_judged", "requests that count against the objective", true, func() float64 {
-			s := n.Record.Sum()
+			s := n.Record.Totals()
 			return float64(s.Good + s.Late + s.Bad)
 		}},
-		{"prefill_tokens", "prompt tokens read", true, func() float64 { return float64(n.Record.Sum().Prefilled) }},
-		{"prefill_tokens_wasted", "prompt tokens read for no answer", true, func() float64 { return float64(n.Record.Sum().Wasted) }},
+		{"prefill_tokens", "prompt tokens read", true, func() float64 { return float64(n.Record.Totals().Prefilled) }},
+		{"prefill_tokens_wasted", "prompt tokens read for no answer", true, func() float64 { return float64(n.Record.Totals().Wasted) }},
 		{"log_lines_dropped", "log lines dropped because the output was not read", true, func() float64 { return n.logCount(LogCounter.Dropped) }},
 		{"log_lines_written", "log lines written", true, func() float64 { return n.logCount(LogCounter.Written) }},
-		{"log_lines_left_out", "log lines of requests left out to bound their number", true, func() float64 { return float64(n.entry.LinesLeftOut()) }},
+		{"log_lines_left_out", "log lines of requests left out to bound their number", true, func() float64 { return float64(n.entry.LogLinesDropped()) }},
 		{"roster_revision", "revision of the endpoints that registered themselves", false, func() float64 { return float64(n.Board.Config.RosterRevision().Revision()) }},
 		{"roster_era", "how often the store has come back from a copy, by its own count", false, func() float64 { return float64(n.Board.Config.RosterRevision().Era()) }},
 		{"platform_silent_seconds", "since the platform was last heard of", false, func() float64 { return n.Board.Config.Status(time.Now()).PlatformSilent }},
 		{"hosts_live", "hosts that count as live", false, func() float64 { return n.liveHosts() }},
-		{"answer_tokens", "tokens relayed to callers", true, func() float64 { return float64(n.Record.Sum().Tokens) }},
+		{"answer_tokens", "tokens relayed to callers", true, func() float64 { return float64(n.Record.Totals().Tokens) }},
 	}
 }
 
@@ -235,7 +235,7 @@
 	}
 	_, err = meter.Float64ObservableGauge("latency_ms", metric.WithDescription("quantiles since the start of the process"),
 		metric.WithFloat64Callback(func(_ context.Context, o metric.Float64Observer) error {
-			ttft, tpot := n.Record.Times()
+			ttft, tpot := n.Record.Latencies()
 			for _, q := range []struct {
 				of, quantile string
 				v            float64
--- a/node/node.go
+++ b/node/node.go
@@ -119,7 +119,7 @@
 	n.Owner = owner.New(n.Board, n.engine, n.log)
 	n.Router = peer.NewRouter(n.Board, n.Owner, peer.Dial(n.dial), n.log)
 	n.entry = entry.New(n.Board, n.engine, n.Router, n.Record, n.log)
-	n.entry.CopyPolicy = n.replicaPolicy
+	n.entry.ReplicaPolicy = n.replicaPolicy
 	if n.feed == nil {
 		n.platform = publish.NewClient(s.Platform, n.dial)
 	}
@@ -144,7 +144,7 @@
 	n.suspendedAtDrop += suspended
 	n.log.Warn("the process was paused; beliefs are dropped", zap.Int("code", int(result.ProcessPaused)), zap.Duration("suspended", suspended))
 	n.Board.Config.AddAge(suspended)
-	n.entry.EndLate()
+	n.entry.CancelExpired()
 	n.Board.Hosts.ResetSilence(now)
 	n.Board.Endpoints.Drop()
 	n.Board.Regions.Drop()
@@ -210,7 +210,7 @@
 		return errors.Wrap(err, field)
 	}
 	l = netutil.LimitListener(l, n.settings.MaxConnections)
-	srv := entry.Limited(h, n.settings.MaxHeaderBytes)
+	srv := entry.NewServer(h, n.settings.MaxHeaderBytes)
 	n.servers = append(n.servers, srv)
 	n.goRun(func() error {
 		if err := srv.Serve(l); !errors.Is(err, http.ErrServerClosed) {
--- a/node/status.go
+++ b/node/status.go
@@ -24,7 +24,7 @@
 	Evacuated []EvacuationStatus      `json:"evacuations,omitempty"`
 	Quotas    []QuotaStatus           `json:"quotas"`
 	Regions   []RegionStatus          `json:"regions,omitempty"` // remote ones
-	Sum       report.Sum              `json:"sum"`
+	Sum       report.Totals           `json:"sum"`
 	TTFT      report.Quantiles        `json:"ttft"`
 	TPOT      report.Quantiles        `json:"tpot"`
 	Progress  int                     `json:"requests_in_progress"`
@@ -79,9 +79,9 @@
 // Status returns what PathStatus serves.
 func (n *Node) Status() Status {
 	now := time.Now()
-	ttft, tpot := n.Record.Times()
+	ttft, tpot := n.Record.Latencies()
 	s := Status{Host: n.settings.Host, Domain: n.settings.Domain, Region: n.settings.Region, Leaving: n.Board.Leaving(),
-		Up: now.Sub(time.UnixMilli(int64(n.Board.Incarnation))).Seconds(), Config: n.Board.Config.Status(now), Sum: n.Record.Sum(),
+		Up: now.Sub(time.UnixMilli(int64(n.Board.Incarnation))).Seconds(), Config: n.Board.Config.Status(now), Sum: n.Record.Totals(),
 		TTFT: ttft, TPOT: tpot, Progress: n.Board.Requests.Len(), Pauses: n.Board.Pause.Count(), Broken: map[string]uint64{}}
 	for name, c := range n.Board.Invariant.Counts() {
 		s.Broken[string(name)] = c
--- a/node/suspects.go
+++ b/node/suspects.go
@@ -59,7 +59,7 @@
 		http.Error(w, "fingerprint "+fingerprint.String()+": it has no failure mark", http.StatusNotFound)
 		return
 	}
-	n.Router.TellMarks(rows)
+	n.Router.AnnounceMarks(rows)
 	n.log.Info("request cleared by an operator", zap.Stringer("fingerprint", fingerprint))
 	writeJSON(w, rowsCleared(rows))
 }
--- a/owner/book.go
+++ b/owner/book.go
@@ -108,7 +108,7 @@
 // endpoint stay: their requests may still arrive. The caller holds the lock.
 func (s *Scheduler) restart(now time.Time) {
 	s.cachedHeads, s.feedNext = map[uint32]uint32{}, 0
-	s.state, s.failedPolls = endpoint.State{Incarnation: uint64(max(0, s.spec.Born)), Lists: s.state.Lists}, 0
+	s.state, s.failedPolls = endpoint.State{Incarnation: uint64(max(0, s.spec.Born)), ReportsHeld: s.state.ReportsHeld}, 0
 	s.roleChangeUntil, s.wrongState = time.Time{}, false
 	s.possiblyColdUntil = now.Add(config.Millis(s.spec.ColdStartMillis))
 	if s.ledger != nil {
--- a/owner/poll.go
+++ b/owner/poll.go
@@ -156,7 +156,7 @@
 // followsFeed reports whether an endpoint's cache feed is read periodically. The caches of decode
 // endpoints are read on demand.
 func (o *Owner) followsFeed(sched *Scheduler) bool {
-	return sched.queue != nil && !o.engine.Traits().DecodeKeeps
+	return sched.queue != nil && !o.engine.Traits().DecodeCaches
 }
 
 // needsTakeover reports whether the contents of the endpoint's memory are still unknown.
@@ -170,7 +170,7 @@
 func (s *Scheduler) reportsIncludeList() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.state.Lists
+	return s.state.ReportsHeld
 }
 
 func (o *Owner) pollState(ctx context.Context, sched *Scheduler) {
@@ -207,11 +207,11 @@
 		sched.nextState = now.Add(config.Millis(o.board.Settings.PollMillis))
 	}
 	sched.failedPolls, sched.state = 0, *st
-	if st.Lists {
+	if st.ReportsHeld {
 		o.applyList(sched, now, st.Held)
 		sched.ready, sched.nextList = true, now.Add(config.Millis(o.board.Settings.PollMillis))
 	}
-	if restarted && !st.Lists {
+	if restarted && !st.ReportsHeld {
 		sched.nextList = now
 	}
 	sched.mu.Unlock()
--- a/owner/restart_test.go
+++ b/owner/restart_test.go
@@ -31,7 +31,7 @@
 	const first, second = 1_796_251_000_000, 1_796_251_000_050
 	held := []endpoint.Running{{ID: "a-1", Tokens: 3000, Written: 5}, {ID: "a-2", Tokens: 2000, Written: 1}}
 	report := func(born uint64, held []endpoint.Running) endpoint.State {
-		return endpoint.State{Incarnation: born, Lists: true, Held: held}
+		return endpoint.State{Incarnation: born, ReportsHeld: true, Held: held}
 	}
 	registered := func(o *Owner, revision uint64, born int64) {
 		r := rosterOf(revision, "ddd")
@@ -155,7 +155,7 @@
 				for k := range rapid.IntRange(0, 3).Draw(rt, "held") {
 					held = append(held, endpoint.Running{ID: fmt.Sprintf("a-%d-%d", event, k), Tokens: 100, Written: 1})
 				}
-				e.state = endpoint.State{Incarnation: uint64(born), Lists: true, Held: held}
+				e.state = endpoint.State{Incarnation: uint64(born), ReportsHeld: true, Held: held}
 				o.pollState(t.Context(), sched)
 				if born >= known {
 					known, want = born, len(held)
--- a/peer/kept.go
+++ b/peer/kept.go
@@ -16,11 +16,11 @@
 // cost more than the prefill of the prompt.
 const maxKeptCalls = 64
 
-// Kept asks the owners of decode endpoints which of them has a prompt cached. It returns the
+// FindCached asks the owners of decode endpoints which of them has a prompt cached. It returns the
 // endpoint that has the most tokens of it, at least need, or nil if none is known. The own
 // failure domain is asked first: clients return to the domain that served them before, and its
 // hosts mostly use its own endpoints.
-func (r *Router) Kept(ctx context.Context, specs []*config.Endpoint, head uint32, need int) (best *config.Endpoint, tokens int) {
+func (r *Router) FindCached(ctx context.Context, specs []*config.Endpoint, head uint32, need int) (best *config.Endpoint, tokens int) {
 	var near, far []*config.Endpoint
 	for _, spec := range specs {
 		if spec.Domain == r.board.Settings.Domain {
--- a/peer/marks.go
+++ b/peer/marks.go
@@ -51,8 +51,8 @@
 // others.
 const marksInterval = time.Second
 
-// TellMarks sends changed marks to all live hosts.
-func (r *Router) TellMarks(rows []quarantine.Row) {
+// AnnounceMarks sends changed marks to all live hosts.
+func (r *Router) AnnounceMarks(rows []quarantine.Row) {
 	for _, group := range relayGroups(r.otherHosts(time.Now(), anyHost)) {
 		go r.sendMarks(context.Background(), group, rows)
 	}
@@ -103,7 +103,7 @@
 		return
 	}
 	if answer := r.board.Suspects.Apply(rows, clock.Now()); len(answer) > 0 {
-		r.TellMarks(answer)
+		r.AnnounceMarks(answer)
 	}
 }
 
@@ -145,9 +145,9 @@
 // maxCoordinators is how many hosts are asked for a probe, one after the other.
 const maxCoordinators = 2
 
-// Trial asks a probe coordinator to grant a probe. All connected hosts of a region ask the same
+// AcquireProbe asks a probe coordinator to grant a probe. All connected hosts of a region ask the same
 // one. If it is unreachable, the next one is asked, and if none is reachable, this host decides.
-func (r *Router) Trial(ctx context.Context, a quarantine.Ask) quarantine.Reply {
+func (r *Router) AcquireProbe(ctx context.Context, a quarantine.Ask) quarantine.Reply {
 	now := clock.Now()
 	a.Known = r.board.Suspects.RowsOf(a.Request, now)
 	for _, h := range r.probeCoordinators(time.Now()) {
@@ -186,9 +186,9 @@
 	return nil
 }
 
-// TrialDone ends a probe, or reports that its run has settled. It sends along what is known of
+// EndProbe ends a probe, or reports that its run has settled. It sends along what is known of
 // the request, so that the next probe starts from that.
-func (r *Router) TrialDone(f request.Fingerprint, holder uint64, settled bool) {
+func (r *Router) EndProbe(f request.Fingerprint, holder uint64, settled bool) {
 	args := &TrialDoneArgs{Holder: holder, Settled: settled, Known: r.board.Suspects.RowsOf(f, clock.Now())}
 	r.applyProbeEnd(args)
 	for _, h := range r.probeCoordinators(time.Now()) {
--- a/peer/quota.go
+++ b/peer/quota.go
@@ -166,9 +166,9 @@
 	return reply.Answer, err == nil && reply.Known
 }
 
-// GiveBack refunds to a team's holder the units of a request that didn't run. It doesn't wait,
+// Refund refunds to a team's holder the units of a request that didn't run. It doesn't wait,
 // and a refund that is lost stays charged.
-func (r *Router) GiveBack(t *config.Team, n float64) {
+func (r *Router) Refund(t *config.Team, n float64) {
 	team, now := r.quotaTeam(t), time.Now()
 	h, ok := r.board.Hosts.First(teamKey(team.Number), r.board.Settings.Domain, now)
 	switch {
--- a/peer/router.go
+++ b/peer/router.go
@@ -252,8 +252,8 @@
 	return reply, err
 }
 
-// Touched counts a request that this host sent to an endpoint (n is 1) or that ended there (n is
+// AddCalls counts a request that this host sent to an endpoint (n is 1) or that ended there (n is
 // -1). The baseline policies, which have no other information, use the count.
-func (r *Router) Touched(number uint32, n int) {
+func (r *Router) AddCalls(number uint32, n int) {
 	r.board.Endpoints.Update(number, func(s *route.State) { s.InFlight += n })
 }
--- a/peer/starts.go
+++ b/peer/starts.go
@@ -35,10 +35,10 @@
 	ownerlessRetry = 500 * time.Millisecond
 )
 
-// Start asks an endpoint's owner for a start permit. If the owner is unreachable, this host
+// AcquirePermit asks an endpoint's owner for a start permit. If the owner is unreachable, this host
 // grants permits from its own share of the limit that the endpoint names, and none at a cold
 // endpoint.
-func (r *Router) Start(ctx context.Context, spec *config.Endpoint, a StartAsk) Start {
+func (r *Router) AcquirePermit(ctx context.Context, spec *config.Endpoint, a StartAsk) Start {
 	h, self, err := r.ownerOf(spec)
 	if err != nil {
 		return r.localPermit(spec)
--- a/proof/cold_test.go
+++ b/proof/cold_test.go
@@ -113,7 +113,7 @@
 
 // callCold has host i call the endpoint if it gets a start permit.
 func (s *sharedHarness) callCold(i int, r *peer.Router, spec *config.Endpoint) {
-	permit := r.Start(context.Background(), spec, peer.StartAsk{Wait: permitWait})
+	permit := r.AcquirePermit(context.Background(), spec, peer.StartAsk{Wait: permitWait})
 	if !permit.Given {
 		return
 	}
--- a/proof/limit_test.go
+++ b/proof/limit_test.go
@@ -34,7 +34,7 @@
 // for the call.
 func (s *sharedHarness) callLimited(i int, r *peer.Router, spec *config.Endpoint) {
 	if s.hasLimit(i) {
-		permit := r.Start(context.Background(), spec, peer.StartAsk{Wait: permitWait, Warm: true})
+		permit := r.AcquirePermit(context.Background(), spec, peer.StartAsk{Wait: permitWait, Warm: true})
 		if !permit.Given {
 			return
 		}
--- a/proof/policy_test.go
+++ b/proof/policy_test.go
@@ -29,9 +29,9 @@
 }
 
 // totals adds up the requests, tries and attempts that the hosts of a cluster recorded.
-func totals(c *trial.Cluster) (s report.Sum) {
+func totals(c *trial.Cluster) (s report.Totals) {
 	for _, n := range c.Nodes {
-		h := n.Record.Sum()
+		h := n.Record.Totals()
 		s.Requests += h.Requests
 		s.Tries += h.Tries
 		s.Attempts += h.Attempts
@@ -58,7 +58,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			var sum report.Sum
+			var sum report.Totals
 			p := runScenario(t, options{seed: 500, span: 12 * time.Second, edit: func(as *[]load.Arrival) {
 				for i := range *as {
 					(*as)[i].Once = false
--- a/report/recorder.go
+++ b/report/recorder.go
@@ -23,13 +23,13 @@
 	targets config.Targets
 	teams   map[string]*series
 	models  map[string]*series
-	sum     Sum
+	sum     Totals
 	ttft    *hdrhistogram.Histogram
 	tpot    *hdrhistogram.Histogram
 }
 
-// Sum holds the totals since the start of the process.
-type Sum struct {
+// Totals holds the totals since the start of the process.
+type Totals struct {
 	Requests  uint64                 `json:"requests"`
 	Good      uint64                 `json:"good"`
 	Late      uint64                 `json:"late"`
@@ -52,7 +52,7 @@
 
 // NewRecorder returns an empty recorder.
 func NewRecorder() *Recorder {
-	return &Recorder{teams: map[string]*series{}, models: map[string]*series{}, sum: Sum{Codes: map[result.Code]uint64{}},
+	return &Recorder{teams: map[string]*series{}, models: map[string]*series{}, sum: Totals{Codes: map[result.Code]uint64{}},
 		ttft: hdrhistogram.New(minMicros, maxMicros, significantFigures), tpot: hdrhistogram.New(minMicros, maxMicros, significantFigures)}
 }
 
@@ -96,8 +96,8 @@
 	return s
 }
 
-// Sum returns the totals since the start of the process.
-func (r *Recorder) Sum() Sum {
+// Totals returns the totals since the start of the process.
+func (r *Recorder) Totals() Totals {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.sum
@@ -115,8 +115,8 @@
 	P99 float64 `json:"p99_ms"`
 }
 
-// Times returns the quantiles of time to first token and time per token.
-func (r *Recorder) Times() (ttft, tpot Quantiles) {
+// Latencies returns the quantiles of time to first token and time per token.
+func (r *Recorder) Latencies() (ttft, tpot Quantiles) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return quantiles(r.ttft), quantiles(r.tpot)
--- a/report/series.go
+++ b/report/series.go
@@ -41,7 +41,7 @@
 	return total, bad
 }
 
-func (s *Sum) add(o Outcome, v Verdict) {
+func (s *Totals) add(o Outcome, v Verdict) {
 	s.Requests++
 	s.Codes[o.Code]++
 	s.Prefilled += uint64(o.Prefilled)
--- a/tool/tool_test.go
+++ b/tool/tool_test.go
@@ -101,7 +101,7 @@
 		}
 		rec.Record(o, now.Add(-time.Duration(i)*time.Minute))
 	}
-	status := node.Status{Host: "is-a-1", Domain: "is-a", Config: blackboard.ConfigStatus{Revision: 7, Rejected: 8, PlatformSilent: 42}, Sum: rec.Sum(), Progress: 3,
+	status := node.Status{Host: "is-a-1", Domain: "is-a", Config: blackboard.ConfigStatus{Revision: 7, Rejected: 8, PlatformSilent: 42}, Sum: rec.Totals(), Progress: 3,
 		Hosts:     []node.HostStatus{{Host: "is-a-1", Domain: "is-a", Live: true}, {Host: "is-b-1", Domain: "is-b", Live: false, Silent: 12}, {Host: "is-c-1", Domain: "is-c", Live: true, Leaving: true}},
 		Quotas:    []node.QuotaStatus{{Team: "press", Rate: 29_000, Free: -150, Used: 9_000, Asked: 31_000, Use: 0.97, Unheard: []string{"is-b"}}},
 		Evacuated: []node.EvacuationStatus{{Domain: "is-b", Since: 12.5, Revision: 41, From: "peer is-c-1", Running: 3}, {Domain: "is-c", Since: 2, Revision: 44, From: "store"}},
