--- a/entry/entry.go
+++ b/entry/entry.go
@@ -32,9 +32,9 @@
 	KeyBegin(ctx context.Context, a peer.KeyArgs) (peer.KeyReply, error)
 	KeyEnd(ctx context.Context, a peer.KeyArgs)
 	AddCalls(number uint32, n int)
-	Draw(ctx context.Context, t *config.Team, n float64) quota.Answer
+	DrawQuota(ctx context.Context, t *config.Team, n float64) quota.Answer
 	Refund(t *config.Team, n float64)
-	AcquirePermit(ctx context.Context, spec *config.Endpoint, a peer.StartAsk) peer.Start
+	AcquirePermit(ctx context.Context, spec *config.Endpoint, a peer.PermitRequest) peer.Permit
 	AcquireProbe(ctx context.Context, a quarantine.Ask) quarantine.Reply
 	EndProbe(f request.Fingerprint, holder uint64, settled bool)
 	AnnounceMarks(rows []quarantine.Row)
--- a/entry/limited_test.go
+++ b/entry/limited_test.go
@@ -47,7 +47,7 @@
 // permit, or refused at once with the earliest time at which there is one.
 func TestNoStartNoTry(t *testing.T) {
 	const endpoints = 8
-	none := peer.Start{In: 700 * time.Millisecond, Back: 900 * time.Millisecond}
+	none := peer.Permit{Delay: 700 * time.Millisecond, ReturnAfter: 900 * time.Millisecond}
 	for _, tc := range []struct {
 		name    string
 		without int // endpoints that have no permit
@@ -81,7 +81,7 @@
 					}
 					return
 				}
-				if refusal == nil || refusal.Code != tc.code || !refusal.NotRun() || refusal.RetryAfter < none.In || refusal.RetryAfter > none.Back {
+				if refusal == nil || refusal.Code != tc.code || !refusal.NotRun() || refusal.RetryAfter < none.Delay || refusal.RetryAfter > none.ReturnAfter {
 					t.Errorf("refused with %+v, want %s", refusal, tc.code)
 				}
 				next := e.newJob(v, v.RouteFor("h", "/x"), headers{team: defaultTeam})
--- a/entry/place_test.go
+++ b/entry/place_test.go
@@ -74,7 +74,7 @@
 
 func (s *stubOwners) AddCalls(uint32, int) {}
 
-func (s *stubOwners) Draw(context.Context, *config.Team, float64) quota.Answer {
+func (s *stubOwners) DrawQuota(context.Context, *config.Team, float64) quota.Answer {
 	return quota.Answer{OK: true}
 }
 
@@ -87,8 +87,8 @@
 func (s *stubOwners) AnnounceMarks([]quarantine.Row)             {}
 func (s *stubOwners) ReceiveLimit(*config.Endpoint, pace.Report) {}
 
-func (s *stubOwners) AcquirePermit(context.Context, *config.Endpoint, peer.StartAsk) peer.Start {
-	return peer.Start{Given: true, Until: time.Now().Add(time.Second)}
+func (s *stubOwners) AcquirePermit(context.Context, *config.Endpoint, peer.PermitRequest) peer.Permit {
+	return peer.Permit{Granted: true, ExpiresAt: time.Now().Add(time.Second)}
 }
 
 // TestTurnLater checks that a request which has its prefill slot long before there is
--- a/entry/quota.go
+++ b/entry/quota.go
@@ -20,7 +20,7 @@
 		answer = j.work.MaxTokens
 	}
 	n := q.Cost(j.tokens, answer)
-	a := e.owners.Draw(ctx, j.team, n)
+	a := e.owners.DrawQuota(ctx, j.team, n)
 	if a.OK {
 		j.quotaDrawn = n
 		return nil
--- a/entry/start.go
+++ b/entry/start.go
@@ -43,13 +43,13 @@
 		}
 		left := time.Until(end)
 		s := e.requestPermit(ctx, j, spec, b, left)
-		if !s.Given && s.In > left {
+		if !s.Granted && s.Delay > left {
 			return e.noPermit(j, spec, b, s, left)
 		}
-		if !wait.For(ctx, s.In) {
+		if !wait.For(ctx, s.Delay) {
 			return &retryable{endpointName: spec.Name, refusal: result.Errorf(result.TooLate, "the deadline passed before %s had a start permit", spec.Name)}
 		}
-		if s.Given && clock.Now().Before(s.Until) {
+		if s.Granted && clock.Now().Before(s.ExpiresAt) {
 			break
 		}
 	}
@@ -65,11 +65,11 @@
 }
 
 // requestPermit asks the owner for a permit that is valid within wait.
-func (e *Entry) requestPermit(ctx context.Context, j *job, spec *config.Endpoint, b route.Reason, wait time.Duration) peer.Start {
-	s := e.owners.AcquirePermit(ctx, spec, peer.StartAsk{Wait: max(0, wait), Warm: b == route.ReasonLimited,
-		Asker: pace.Requester{Team: j.teamNumber, Priority: j.priority}})
-	if !s.Given {
-		s.In = max(s.In, minPermitRetry)
+func (e *Entry) requestPermit(ctx context.Context, j *job, spec *config.Endpoint, b route.Reason, wait time.Duration) peer.Permit {
+	s := e.owners.AcquirePermit(ctx, spec, peer.PermitRequest{Wait: max(0, wait), Warm: b == route.ReasonLimited,
+		Requester: pace.Requester{Team: j.teamNumber, Priority: j.priority}})
+	if !s.Granted {
+		s.Delay = max(s.Delay, minPermitRetry)
 	}
 	return s
 }
@@ -119,13 +119,13 @@
 
 // noPermit records that an endpoint has no permit for some time for a call that would wait
 // that long, and returns the refusal.
-func (e *Entry) noPermit(j *job, spec *config.Endpoint, b route.Reason, s peer.Start, wait time.Duration) *retryable {
+func (e *Entry) noPermit(j *job, spec *config.Endpoint, b route.Reason, s peer.Permit, wait time.Duration) *retryable {
 	now := time.Now()
 	e.board.Endpoints.Update(route.Number(spec.Name), func(st *route.State) {
-		st.NoPermitUntil, st.RetryAt = now.Add(max(minPermitRetry, s.In-wait)), now.Add(max(s.In, s.Back))
+		st.NoPermitUntil, st.RetryAt = now.Add(max(minPermitRetry, s.Delay-wait)), now.Add(max(s.Delay, s.ReturnAfter))
 	})
 	e.WithoutPermit.Add(1)
-	refusal := result.Errorf(barCode(b), "%s: %s", spec.Name, b).After(max(s.In, s.Back))
+	refusal := result.Errorf(barCode(b), "%s: %s", spec.Name, b).After(max(s.Delay, s.ReturnAfter))
 	e.logRefused(j, spec, "start", refusal, 0)
 	return &retryable{endpointName: spec.Name, notSent: true, bar: b, refusal: refusal}
 }
@@ -141,11 +141,11 @@
 	}
 	maxWait := e.maxPermitWait(j, p.decodeSpec) + prefillIn
 	s := e.requestPermit(ctx, j, p.decodeSpec, b, maxWait)
-	if !s.Given {
+	if !s.Granted {
 		return e.noPermit(j, p.decodeSpec, b, s, maxWait).refusal
 	}
-	p.transferStart = later(p.transferStart, time.Now().Add(s.In))
-	p.permit = heldPermit{endpoint: p.decodeSpec.Name, until: s.Until.Add(min(maxPermitHold, max(prefillIn, time.Until(p.transferStart))+p.TransferDuration+permitHoldExtra))}
+	p.transferStart = later(p.transferStart, time.Now().Add(s.Delay))
+	p.permit = heldPermit{endpoint: p.decodeSpec.Name, until: s.ExpiresAt.Add(min(maxPermitHold, max(prefillIn, time.Until(p.transferStart))+p.TransferDuration+permitHoldExtra))}
 	return nil
 }
 
--- a/entry/start_test.go
+++ b/entry/start_test.go
@@ -22,21 +22,21 @@
 // coldScene is a pool of cold endpoints whose owners grant start permits by a script.
 type coldScene struct {
 	*leavingScene
-	permits       []peer.Start // answers in order of the requests; further ones are granted at once
-	permitsBefore int          // permits before the step atPermit
+	permits       []peer.Permit // answers in order of the requests; further ones are granted at once
+	permitsBefore int           // permits before the step atPermit
 }
 
-func (s *coldScene) AcquirePermit(_ context.Context, spec *config.Endpoint, _ peer.StartAsk) peer.Start {
+func (s *coldScene) AcquirePermit(_ context.Context, spec *config.Endpoint, _ peer.PermitRequest) peer.Permit {
 	s.callOrder = append(s.callOrder, "permit at "+spec.Name)
 	if s.permitsBefore--; s.permitsBefore < 0 {
 		s.leaveNow(atPermit, spec.Name)
 	}
-	start := peer.Start{Given: true, Until: time.Now().Add(time.Second)}
+	start := peer.Permit{Granted: true, ExpiresAt: time.Now().Add(time.Second)}
 	if len(s.permits) > 0 {
 		start, s.permits = s.permits[0], s.permits[1:]
 	}
-	if start.Given && start.Until.IsZero() {
-		start.Until = time.Now().Add(start.In + time.Second)
+	if start.Granted && start.ExpiresAt.IsZero() {
+		start.ExpiresAt = time.Now().Add(start.Delay + time.Second)
 	}
 	return start
 }
@@ -57,24 +57,24 @@
 // or is refused as not run, if there is none.
 func TestStarts(t *testing.T) {
 	const whole = "permit at p, prefill at p, permit at d, decode at d"
-	none := peer.Start{In: 700 * time.Millisecond}
+	none := peer.Permit{Delay: 700 * time.Millisecond}
 	for _, tc := range []struct {
 		name   string
 		warm   bool
 		full   int
-		script []peer.Start
+		script []peer.Permit
 		want   string
 		code   result.Code
 	}{
 		{name: "warm", warm: true, want: "prefill at p, decode at d"},
 		{name: "granted at once", want: whole},
-		{name: "granted for later", script: []peer.Start{{Given: true, In: 300 * time.Millisecond}}, want: whole},
-		{name: "expired before use", script: []peer.Start{{Given: true, Until: time.Unix(0, 1)}}, want: "permit at p, " + whole},
-		{name: "none at the first prefill engine", script: []peer.Start{none}, want: "permit at p, " + whole},
-		{name: "none at the first decode engine", script: []peer.Start{{Given: true}, none},
+		{name: "granted for later", script: []peer.Permit{{Granted: true, Delay: 300 * time.Millisecond}}, want: whole},
+		{name: "expired before use", script: []peer.Permit{{Granted: true, ExpiresAt: time.Unix(0, 1)}}, want: "permit at p, " + whole},
+		{name: "none at the first prefill engine", script: []peer.Permit{none}, want: "permit at p, " + whole},
+		{name: "none at the first decode engine", script: []peer.Permit{{Granted: true}, none},
 			want: "permit at p, prefill at p, permit at d, permit at d, decode at d"},
 		{name: "a full engine is called again", full: 1, want: whole + ", permit at d, decode at d"},
-		{name: "none at all", script: []peer.Start{none, none}, want: "permit at p, permit at p", code: result.Cold},
+		{name: "none at all", script: []peer.Permit{none, none}, want: "permit at p, permit at p", code: result.Cold},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -163,15 +163,15 @@
 // TestLeftBeforeStart checks that a request which waits for a permit at an endpoint that
 // leaves in the meantime goes elsewhere, before its prefill and before its decode call.
 func TestLeftBeforeStart(t *testing.T) {
-	later := peer.Start{Given: true, In: 300 * time.Millisecond}
+	later := peer.Permit{Granted: true, Delay: 300 * time.Millisecond}
 	for _, tc := range []struct {
 		name   string
 		before int // calls that have got their permit
-		script []peer.Start
+		script []peer.Permit
 		want   string
 	}{
-		{"before the prefill", 0, []peer.Start{later}, "permit at p, permit at p, prefill at p, permit at d, decode at d"},
-		{"before the decode call", 1, []peer.Start{{Given: true}, later}, "permit at p, prefill at p, permit at d, permit at d, decode at d"},
+		{"before the prefill", 0, []peer.Permit{later}, "permit at p, permit at p, prefill at p, permit at d, decode at d"},
+		{"before the decode call", 1, []peer.Permit{{Granted: true}, later}, "permit at p, prefill at p, permit at d, permit at d, decode at d"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -219,14 +219,14 @@
 func TestServiceStarts(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
-		script []peer.Start
+		script []peer.Permit
 		want   string
 		code   result.Code
 	}{
 		{"given", nil, "permit at s, call s", 0},
-		{"none", []peer.Start{{In: 700 * time.Millisecond}}, "permit at s", result.Cold},
-		{"none yet", []peer.Start{{In: 300 * time.Millisecond}}, "permit at s, permit at s, call s", 0},
-		{"none yet, and none then", []peer.Start{{In: 300 * time.Millisecond}, {In: 300 * time.Millisecond}}, "permit at s, permit at s", result.Cold},
+		{"none", []peer.Permit{{Delay: 700 * time.Millisecond}}, "permit at s", result.Cold},
+		{"none yet", []peer.Permit{{Delay: 300 * time.Millisecond}}, "permit at s, permit at s, call s", 0},
+		{"none yet, and none then", []peer.Permit{{Delay: 300 * time.Millisecond}, {Delay: 300 * time.Millisecond}}, "permit at s, permit at s", result.Cold},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/entry/turn.go
+++ b/entry/turn.go
@@ -54,7 +54,7 @@
 	case err != nil && j.redirected() && ctx.Err() == nil: // the queue of a remote engine is not known
 		e.board.Regions.RecordMiss(config.NameNumber(j.redirect.region), time.Now())
 		return result.Errorf(result.TooLate, "the owner of %s is unreachable", p.prefillSpec.Name).After(time.Second)
-	case err != nil && errors.Is(err, peer.ErrOutOfReach) && ctx.Err() == nil:
+	case err != nil && errors.Is(err, peer.ErrUnreachable) && ctx.Err() == nil:
 		if p.QueueDuration+p.PrefillDuration+p.TransferDuration > j.slack() {
 			return result.Errorf(result.TooLate, "by the last report of %s the prefill would end too late", p.prefillSpec.Name).After(p.QueueDuration + p.PrefillDuration)
 		}
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -177,7 +177,7 @@
 	} {
 		_, err := m.Float64ObservableCounter(g.name, metric.WithDescription(g.help), metric.WithFloat64Callback(func(_ context.Context, o metric.Float64Observer) error {
 			for _, p := range meter.Purposes() {
-				o.Observe(float64(g.read(n.Router.Spent.Of(p))), metric.WithAttributes(attribute.String("purpose", p.String())))
+				o.Observe(float64(g.read(n.Router.PurposeTraffic.Of(p))), metric.WithAttributes(attribute.String("purpose", p.String())))
 			}
 			return nil
 		}))
--- a/node/node.go
+++ b/node/node.go
@@ -131,8 +131,8 @@
 		return nil, err
 	}
 	n.metrics = m
-	n.Router.Accepted, n.Router.Emptied = func(v *config.View) { n.Record.SetTargets(v.Doc.Targets) }, n.Owner.RefuseEvacuated
-	n.pool = blackboard.NewPool(n.Board, n.Router.Flusher(), n.Owner.Poller(), n.Router.Exchanger(), n.Router.Watcher(), n.Router.KeySweeper(), n.Router.Seeder(), n.Router.Lapser(), n.Router.Prober(), n.Owner.Balancer(), n.Owner.VoteController(), n.Router.Settler(), n.Router.MarksSweeper(), n.processLogger())
+	n.Router.OnAccepted, n.Router.OnEvacuated = func(v *config.View) { n.Record.SetTargets(v.Doc.Targets) }, n.Owner.RefuseEvacuated
+	n.pool = blackboard.NewPool(n.Board, n.Router.Flusher(), n.Owner.Poller(), n.Router.Exchanger(), n.Router.Watcher(), n.Router.KeySweeper(), n.Router.Seeder(), n.Router.RegistrationExpirer(), n.Router.RecoveryChecker(), n.Owner.Balancer(), n.Owner.VoteController(), n.Router.Settler(), n.Router.MarksSweeper(), n.processLogger())
 	n.Board.Pause.OnWake(n.dropStaleState)
 	return n, nil
 }
--- a/node/sink.go
+++ b/node/sink.go
@@ -35,18 +35,18 @@
 // eagerKey is the hash key that selects the eager hosts of a failure domain.
 const eagerKey = 0x6561676572
 
-func (s feedSink) Heard(asked, at time.Time) {
+func (s feedSink) Confirmed(asked, at time.Time) {
 	if !s.n.Board.Pause.RanSince(asked) {
 		at = asked
 	}
 	s.n.Board.Config.RecordPlatformAnswer(at)
 	if s.Eager() {
-		s.n.Router.TellDomain(s.ctx)
+		s.n.Router.AnnounceToDomain(s.ctx)
 	}
 }
 
-func (s feedSink) HeardFor() (time.Duration, bool) {
+func (s feedSink) ConfirmedAge() (time.Duration, bool) {
 	return s.n.Board.Config.PlatformSilence(time.Now())
 }
 
-func (s feedSink) Relies() bool { return s.n.Router.Relies(time.Now()) }
+func (s feedSink) ReliesOnPeers() bool { return s.n.Router.ReliesOnPeers(time.Now()) }
--- a/node/watch.go
+++ b/node/watch.go
@@ -74,7 +74,7 @@
 			return jittered(staleRetryDelay), nil
 		}
 		version = l.Version
-		n.Router.Listed(l)
+		n.Router.MergeHostList(l)
 		return 0, nil
 	})
 }
--- a/peer/exchange.go
+++ b/peer/exchange.go
@@ -89,7 +89,7 @@
 	reply := new(ExchangeReply)
 	began := time.Now()
 	err := r.pool.call(ctx, h.Peers, methodExchange, &args, reply, timeout)
-	if errors.Is(err, ErrOutOfReach) {
+	if errors.Is(err, ErrUnreachable) {
 		// The open connection may have gone silent. Its answer may still arrive, so the new
 		// connection gets a reply value of its own.
 		reply, began = new(ExchangeReply), time.Now()
@@ -245,8 +245,8 @@
 	r.board.Hosts.Learn(blackboard.Host{Name: n.Name, Number: num, Domain: n.Domain, Region: n.Region, Peers: n.Peers}, now)
 }
 
-// Listed merges the platform's list of hosts.
-func (r *Router) Listed(l *publish.HostList) {
+// MergeHostList merges the platform's list of hosts.
+func (r *Router) MergeHostList(l *publish.HostList) {
 	now := time.Now()
 	listed := map[uint32]bool{}
 	for _, h := range l.Hosts {
@@ -287,7 +287,7 @@
 	wg.Wait()
 }
 
-// Once makes one exchange with the host at an address. It is used for measurements.
-func (r *Router) Once(ctx context.Context, addr string) {
+// ExchangeOnce makes one exchange with the host at an address. It is used for measurements.
+func (r *Router) ExchangeOnce(ctx context.Context, addr string) {
 	r.exchangeWith(ctx, blackboard.Host{Peers: addr, Region: r.board.Settings.Region})
 }
--- a/peer/fetch.go
+++ b/peer/fetch.go
@@ -168,7 +168,7 @@
 		silence := fetchSilentTimeouts * r.timeout()
 		for wait.For(ctx, silence) {
 			if !r.bulk.readWithin(from.Peers, silence) {
-				cancel(ErrOutOfReach)
+				cancel(ErrUnreachable)
 			}
 		}
 	}()
--- a/peer/keys.go
+++ b/peer/keys.go
@@ -55,7 +55,7 @@
 		}
 		r.board.Hosts.MarkUnconfirmed(h.Number)
 	}
-	return KeyReply{}, ErrOutOfReach
+	return KeyReply{}, ErrUnreachable
 }
 
 // keyHolders is how many hosts store each key.
@@ -78,7 +78,7 @@
 		if err := r.pool.call(ctx, other.Peers, methodKeyBegin, &copyArgs, &theirs, r.timeout()); err != nil {
 			r.board.Keys.End(a.Record.Key, a.Record.ID, blackboard.KeyNew, now)
 			r.board.Hosts.MarkUnconfirmed(other.Number)
-			return KeyReply{}, ErrOutOfReach
+			return KeyReply{}, ErrUnreachable
 		}
 		reply.TenureMillis = max(reply.TenureMillis, theirs.TenureMillis)
 		if theirs.State != blackboard.KeyNew {
--- a/peer/marks.go
+++ b/peer/marks.go
@@ -78,7 +78,7 @@
 func (r *Router) callMarks(ctx context.Context, h blackboard.Host, args *MarksArgs) (*MarksReply, error) {
 	reply := new(MarksReply)
 	err := r.pool.call(ctx, h.Peers, methodMarks, args, reply, r.timeout())
-	if errors.Is(err, ErrOutOfReach) {
+	if errors.Is(err, ErrUnreachable) {
 		reply = new(MarksReply)
 		err = r.pool.callOnNewConn(ctx, h.Peers, methodMarks, args, reply, r.timeout())
 	}
--- a/peer/news.go
+++ b/peer/news.go
@@ -65,9 +65,9 @@
 // expiryCheckInterval is how often endpoints with expired registrations are checked.
 const expiryCheckInterval = 250 * time.Millisecond
 
-// Lapser returns the controller that drops endpoints whose registrations expired too long
+// RegistrationExpirer returns the controller that drops endpoints whose registrations expired too long
 // ago. It announces nothing, since each host finds out by itself.
-func (r *Router) Lapser() blackboard.Controller {
+func (r *Router) RegistrationExpirer() blackboard.Controller {
 	return blackboard.Every(expiryCheckInterval, func(context.Context) {
 		endpoints, evacuations := r.board.Config.DropExpired(time.Now())
 		if endpoints+evacuations == 0 {
@@ -94,8 +94,8 @@
 		return
 	}
 	r.applyView(from)
-	if r.Accepted != nil {
-		r.Accepted(r.board.Config.View())
+	if r.OnAccepted != nil {
+		r.OnAccepted(r.board.Config.View())
 	}
 	r.log.Info("revision in force", zap.Uint64("revision", revision), zap.String("from", from), zap.Int("bytes", len(src)),
 		zap.Duration("behind", behind), zap.Duration("store_heard_ago", storeAge), zap.Duration("taken_over_in", time.Since(received)))
@@ -123,8 +123,8 @@
 		r.log.Info("failure domain is no longer emptied", zap.String("domain", e.Domain), zap.Stringer("revision", e.Revision),
 			zap.Stringer("roster", v.Roster), zap.Duration("after", time.Since(e.Since)), zap.String("from", from))
 	}
-	if len(began) > 0 && r.Emptied != nil {
-		r.Emptied(v)
+	if len(began) > 0 && r.OnEvacuated != nil {
+		r.OnEvacuated(v)
 	}
 }
 
--- a/peer/pool.go
+++ b/peer/pool.go
@@ -16,8 +16,8 @@
 // Dial opens a connection to an IP:port.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// ErrOutOfReach is returned when a host didn't answer in time.
-var ErrOutOfReach = errors.New("host is unreachable")
+// ErrUnreachable is returned when a host didn't answer in time.
+var ErrUnreachable = errors.New("host is unreachable")
 
 // pool keeps connections to peers, at most one per peer.
 type pool struct {
@@ -160,7 +160,7 @@
 	if old := p.conns[addr]; old != nil || p.closed {
 		c.Close()
 		if old == nil {
-			return nil, ErrOutOfReach
+			return nil, ErrUnreachable
 		}
 		return old, nil
 	}
@@ -236,7 +236,7 @@
 				if p.noteTimeout(addr) {
 					p.drop(addr, c)
 				}
-				return ErrOutOfReach
+				return ErrUnreachable
 			}
 			return ctx.Err()
 		}
@@ -270,7 +270,7 @@
 		return nil
 	case <-ctx.Done():
 		c.Close()
-		return ErrOutOfReach
+		return ErrUnreachable
 	}
 }
 
--- a/peer/pool_test.go
+++ b/peer/pool_test.go
@@ -71,7 +71,7 @@
 					switch {
 					case err == nil:
 						got += "+"
-					case errors.Is(err, ErrOutOfReach):
+					case errors.Is(err, ErrUnreachable):
 						got += "-"
 					default:
 						got += "?"
@@ -129,7 +129,7 @@
 				switch {
 				case silent == 0 && (err != nil || took < 2*time.Second):
 					t.Errorf("%v after %s, want an answer after two seconds", err, took)
-				case silent > 0 && (!errors.Is(err, ErrOutOfReach) || took > time.Second):
+				case silent > 0 && (!errors.Is(err, ErrUnreachable) || took > time.Second):
 					t.Errorf("%v after %s, want a timeout within a second", err, took)
 				}
 				r.Close()
--- a/peer/probe.go
+++ b/peer/probe.go
@@ -13,11 +13,11 @@
 // maxRecoveryChecks is how many unconfirmed hosts are pinged at once.
 const maxRecoveryChecks = 8
 
-// Prober returns the controller that detects when a partition has healed or an unconfirmed host
+// RecoveryChecker returns the controller that detects when a partition has healed or an unconfirmed host
 // answers again, so that no request has to find out. Until then another host stands in for the
 // unconfirmed one, but only as seen by this host. Both then run schedulers for the same endpoints
 // and poll them for reports.
-func (r *Router) Prober() blackboard.Controller {
+func (r *Router) RecoveryChecker() blackboard.Controller {
 	return blackboard.Every(recoveryCheckInterval, func(ctx context.Context) {
 		for _, h := range r.unconfirmedHosts(time.Now()) {
 			go r.checkRecovery(ctx, h)
--- a/peer/quota.go
+++ b/peer/quota.go
@@ -101,11 +101,11 @@
 	return ok && h.Number == r.board.Number
 }
 
-// Draw asks for n units of a team's quota for a request. It asks the team's holder, then the host
+// DrawQuota asks for n units of a team's quota for a request. It asks the team's holder, then the host
 // that stands in for it, and if both are unreachable it uses this host's own share of the limit.
 // Without the second step, all hosts would admit requests by themselves whenever a holder is
 // lost, together more than the quota allows.
-func (r *Router) Draw(ctx context.Context, t *config.Team, n float64) quota.Answer {
+func (r *Router) DrawQuota(ctx context.Context, t *config.Team, n float64) quota.Answer {
 	team, now := r.quotaTeam(t), time.Now()
 	c := r.board.Hosts.Census(now)
 	if c.LiveShare >= minReachableShare && !r.metNobody(c) {
--- a/peer/rely.go
+++ b/peer/rely.go
@@ -30,9 +30,9 @@
 	behindFor = time.Second
 )
 
-// Relies reports whether other hosts keep this one up to date: whether they reported recently
+// ReliesOnPeers reports whether other hosts keep this one up to date: whether they reported recently
 // what the platform holds, and this host has everything that they have.
-func (r *Router) Relies(now time.Time) bool {
+func (r *Router) ReliesOnPeers(now time.Time) bool {
 	maxAge, maxBehind := relyFor, behindFor
 	if bound := config.FractionMillis(r.board.Settings.ChangeMillis); bound > 0 {
 		maxAge, maxBehind = time.Duration(relyShare*float64(bound)), time.Duration(behindShare*float64(bound))
--- a/peer/router.go
+++ b/peer/router.go
@@ -22,15 +22,15 @@
 // Router forwards calls to the owner of an endpoint or the holder of a key, which is this host
 // itself or a peer.
 type Router struct {
-	Traffic meter.Traffic // with other hosts
-	Spent   meter.Ledger  // traffic by purpose
-	Fetches meter.Fetches // fetches of what this host lacked
+	Traffic        meter.Traffic // with other hosts
+	PurposeTraffic meter.Ledger  // traffic by purpose
+	Fetches        meter.Fetches // fetches of what this host lacked
 	// Accepted is called with each revision that takes effect. It may be nil, and is set before
 	// the router is used.
-	Accepted func(v *config.View)
+	OnAccepted func(v *config.View)
 	// Emptied is called when more failure domains are evacuated than before. It may be nil, and
 	// is set before the router is used.
-	Emptied func(v *config.View)
+	OnEvacuated func(v *config.View)
 
 	board *blackboard.Board
 	owner *owner.Owner
@@ -67,8 +67,8 @@
 // TCP.
 func NewRouter(b *blackboard.Board, o *owner.Owner, dial Dial, log *zap.Logger) *Router {
 	r := &Router{board: b, owner: o, log: log, releases: map[string][]owner.Release{}, unnamed: map[uint32]bool{}, listed: map[uint32]bool{}, missedPings: map[uint32]int{}, membersDiffer: true}
-	r.pool = newPool(dial, &r.Traffic, &r.Spent)
-	r.bulk = newPool(dial, &r.Traffic, &r.Spent)
+	r.pool = newPool(dial, &r.Traffic, &r.PurposeTraffic)
+	r.bulk = newPool(dial, &r.Traffic, &r.PurposeTraffic)
 	o.SetPeers(r)
 	return r
 }
@@ -89,7 +89,7 @@
 func (r *Router) ownerOf(spec *config.Endpoint) (h blackboard.Host, self bool, err error) {
 	h, ok := owner.Of(r.board, r.board.Config.View(), spec, time.Now())
 	if !ok || h.Unconfirmed || h.Peers == "" || r.board.Domains.CutOff(h.Domain, time.Now()) {
-		return h, false, ErrOutOfReach
+		return h, false, ErrUnreachable
 	}
 	return h, h.Number == r.board.Number, nil
 }
@@ -110,7 +110,7 @@
 		r.noteSilent(h)
 	}
 	r.log.Debug("peer failed", zap.String("host", h.Name), zap.Error(err))
-	return ErrOutOfReach
+	return ErrUnreachable
 }
 
 // noteAnswered records that a host answered.
@@ -135,7 +135,7 @@
 // refuses the connection instead.
 func isTimeout(err error) bool {
 	var timeout net.Error
-	return errors.Is(err, ErrOutOfReach) || errors.As(err, &timeout) && timeout.Timeout()
+	return errors.Is(err, ErrUnreachable) || errors.As(err, &timeout) && timeout.Timeout()
 }
 
 // Reserve asks the endpoint's owner for decode memory.
@@ -212,13 +212,13 @@
 				continue
 			}
 			if err := r.pool.call(watched, h.Peers, methodPing, &Nothing{}, new(Heartbeat), pingTimeoutHalves*watch/2); err != nil {
-				cancel(ErrOutOfReach)
+				cancel(ErrUnreachable)
 			}
 		}
 	}()
 	err := r.pool.call(watched, h.Peers, method, args, reply, timeout)
-	if err != nil && context.Cause(watched) == ErrOutOfReach {
-		return ErrOutOfReach
+	if err != nil && context.Cause(watched) == ErrUnreachable {
+		return ErrUnreachable
 	}
 	return err
 }
--- a/peer/server.go
+++ b/peer/server.go
@@ -134,7 +134,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			srv.ServeCodec(&serverCodec{wire: newWire(counted(c, &r.Traffic), &r.Spent)})
+			srv.ServeCodec(&serverCodec{wire: newWire(counted(c, &r.Traffic), &r.PurposeTraffic)})
 			mu.Lock()
 			defer mu.Unlock()
 			delete(open, c)
--- a/peer/standing.go
+++ b/peer/standing.go
@@ -38,9 +38,9 @@
 	relayGroupSize = 12 // hosts per group
 )
 
-// TellDomain reports the revisions that this host has in force to the live hosts of its failure
+// AnnounceToDomain reports the revisions that this host has in force to the live hosts of its failure
 // domain. It is called after each answer of the platform, on the hosts that watch it for others.
-func (r *Router) TellDomain(ctx context.Context) {
+func (r *Router) AnnounceToDomain(ctx context.Context) {
 	now := time.Now()
 	r.mu.Lock()
 	due := now.Sub(r.standingSentAt) >= standingInterval
@@ -105,7 +105,7 @@
 // connection, as the open one may have gone silent.
 func (r *Router) sendStanding(ctx context.Context, addr string, args *StandingArgs) bool {
 	err := r.pool.call(ctx, addr, methodStanding, args, &Nothing{}, r.timeout())
-	if errors.Is(err, ErrOutOfReach) {
+	if errors.Is(err, ErrUnreachable) {
 		err = r.pool.callOnNewConn(ctx, addr, methodStanding, args, &Nothing{}, r.timeout())
 	}
 	return err == nil
--- a/peer/standing_test.go
+++ b/peer/standing_test.go
@@ -39,7 +39,7 @@
 				r := informedRouter(t, tc.bound)
 				r.applyStanding(aheadPeer{revision: tc.revision, roster: tc.roster, from: HostIdentity{Name: "other"}}, tc.age, time.Now())
 				time.Sleep(tc.after)
-				if got := r.Relies(time.Now()); got != tc.want {
+				if got := r.ReliesOnPeers(time.Now()); got != tc.want {
 					t.Errorf("relies: %v, want %v", got, tc.want)
 				}
 			})
@@ -56,11 +56,11 @@
 		r.applyStanding(aheadPeer{revision: 1, roster: 1, from: HostIdentity{Name: "other"}}, 1, time.Now())
 		r.applyStanding(aheadPeer{revision: 2, roster: 1, from: HostIdentity{Name: "third"}}, 1, time.Now())
 		time.Sleep(900 * time.Millisecond)
-		if !r.Relies(time.Now()) {
+		if !r.ReliesOnPeers(time.Now()) {
 			t.Error("doesn't wait for a fetch")
 		}
 		time.Sleep(200 * time.Millisecond)
-		if r.Relies(time.Now()) {
+		if r.ReliesOnPeers(time.Now()) {
 			t.Error("relies on others although a revision has been missing for over a second")
 		}
 	})
--- a/peer/starts.go
+++ b/peer/starts.go
@@ -12,19 +12,19 @@
 	"github.com/embercove/embercove/route"
 )
 
-// StartAsk describes a call that needs a start permit.
-type StartAsk struct {
-	Wait  time.Duration // how long the call may wait for the permit
-	Warm  bool          // this host doesn't consider the endpoint cold
-	Asker pace.Requester
+// PermitRequest describes a call that needs a start permit.
+type PermitRequest struct {
+	Wait      time.Duration // how long the call may wait for the permit
+	Warm      bool          // this host doesn't consider the endpoint cold
+	Requester pace.Requester
 }
 
-// Start is the answer to a request for a start permit at an endpoint.
-type Start struct {
-	Given bool
-	In    time.Duration // until the permit is valid, or if refused, until the next request is worthwhile
-	Back  time.Duration // if refused, until the caller may come back
-	Until time.Time     // when the permit expires, on the clock of package clock
+// Permit is the answer to a request for a start permit at an endpoint.
+type Permit struct {
+	Granted     bool
+	Delay       time.Duration // until the permit is valid, or if refused, until the next request is worthwhile
+	ReturnAfter time.Duration // if refused, until the caller may come back
+	ExpiresAt   time.Time     // when the permit expires, on the clock of package clock
 }
 
 const (
@@ -38,13 +38,13 @@
 // AcquirePermit asks an endpoint's owner for a start permit. If the owner is unreachable, this host
 // grants permits from its own share of the limit that the endpoint names, and none at a cold
 // endpoint.
-func (r *Router) AcquirePermit(ctx context.Context, spec *config.Endpoint, a StartAsk) Start {
+func (r *Router) AcquirePermit(ctx context.Context, spec *config.Endpoint, a PermitRequest) Permit {
 	h, self, err := r.ownerOf(spec)
 	if err != nil {
 		return r.localPermit(spec)
 	}
 	asked := clock.Now()
-	args, reply := owner.PermitArgs{Endpoint: config.NameNumber(spec.Name), Wait: int(a.Wait.Milliseconds()), Warm: a.Warm, Asker: a.Asker}, owner.PermitReply{}
+	args, reply := owner.PermitArgs{Endpoint: config.NameNumber(spec.Name), Wait: int(a.Wait.Milliseconds()), Warm: a.Warm, Asker: a.Requester}, owner.PermitReply{}
 	if self {
 		reply, err = r.owner.Permits.Acquire(args)
 	} else {
@@ -58,16 +58,16 @@
 		r.ReceivePeerLimit(spec, reply.Limit)
 	}
 	in := config.Millis(reply.InMillis)
-	return Start{Given: reply.Given, In: in, Back: config.Millis(reply.BackMillis), Until: asked.Add(in + pace.Lag)}
+	return Permit{Granted: reply.Given, Delay: in, ReturnAfter: config.Millis(reply.BackMillis), ExpiresAt: asked.Add(in + pace.Lag)}
 }
 
 // localPermit grants a permit that no other host knows of.
-func (r *Router) localPermit(spec *config.Endpoint) Start {
+func (r *Router) localPermit(spec *config.Endpoint) Permit {
 	in, given := r.owner.Permits.AcquireIsolated(spec, r.evenShare(r.board.Hosts.Census(time.Now())))
 	if given {
-		return Start{Given: true, Until: clock.Now().Add(pace.Lag)}
+		return Permit{Granted: true, ExpiresAt: clock.Now().Add(pace.Lag)}
 	}
-	return Start{In: min(in, ownerlessRetry), Back: min(in, ownerlessRetry)}
+	return Permit{Delay: min(in, ownerlessRetry), ReturnAfter: min(in, ownerlessRetry)}
 }
 
 // limitOf returns this host's view of an endpoint's limit, as it is sent to other hosts.
--- a/proof/cold_test.go
+++ b/proof/cold_test.go
@@ -113,14 +113,14 @@
 
 // callCold has host i call the endpoint if it gets a start permit.
 func (s *sharedHarness) callCold(i int, r *peer.Router, spec *config.Endpoint) {
-	permit := r.AcquirePermit(context.Background(), spec, peer.StartAsk{Wait: permitWait})
-	if !permit.Given {
+	permit := r.AcquirePermit(context.Background(), spec, peer.PermitRequest{Wait: permitWait})
+	if !permit.Granted {
 		return
 	}
-	time.Sleep(permit.In)
+	time.Sleep(permit.Delay)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if now := time.Now(); now.Before(permit.Until) && !s.down[i] {
+	if now := time.Now(); now.Before(permit.ExpiresAt) && !s.down[i] {
 		s.sentAt = append(s.sentAt, now)
 	}
 }
--- a/proof/limit_test.go
+++ b/proof/limit_test.go
@@ -34,11 +34,11 @@
 // for the call.
 func (s *sharedHarness) callLimited(i int, r *peer.Router, spec *config.Endpoint) {
 	if s.hasLimit(i) {
-		permit := r.AcquirePermit(context.Background(), spec, peer.StartAsk{Wait: permitWait, Warm: true})
-		if !permit.Given {
+		permit := r.AcquirePermit(context.Background(), spec, peer.PermitRequest{Wait: permitWait, Warm: true})
+		if !permit.Granted {
 			return
 		}
-		if time.Sleep(permit.In); !clock.Now().Before(permit.Until) {
+		if time.Sleep(permit.Delay); !clock.Now().Before(permit.ExpiresAt) {
 			return
 		}
 	}
--- a/publish/era_test.go
+++ b/publish/era_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-func (s *eraSink) Heard(time.Time, time.Time) { s.heard++ }
+func (s *eraSink) Confirmed(time.Time, time.Time) { s.heard++ }
 
 // eraStore answers with the given positions, one per call, and then blocks.
 type eraStore struct {
@@ -50,7 +50,7 @@
 func (s *eraStore) Watch(ctx context.Context, after config.Position, _ time.Duration) (*Changes, error) {
 	at, err := s.next(ctx)
 	if err == nil && at.Era() != after.Era() {
-		return nil, ErrForgotten
+		return nil, ErrCompacted
 	}
 	return &Changes{At: at, Changed: rows([]string{"a1"}, nil)}, err
 }
--- a/publish/follow.go
+++ b/publish/follow.go
@@ -25,12 +25,12 @@
 	Eager() bool
 	// Relies reports whether other hosts keep this one up to date, that is, have recently
 	// reported what the store holds.
-	Relies() bool
+	ReliesOnPeers() bool
 	// Heard records that the platform held what is known here at the time at. The call was made
 	// at the time asked: if the process was paused since then, the answer may be old.
-	Heard(asked, at time.Time)
+	Confirmed(asked, at time.Time)
 	// HeardFor returns the age of what is known here, and whether anything is.
-	HeardFor() (age time.Duration, ever bool)
+	ConfirmedAge() (age time.Duration, ever bool)
 }
 
 // Feed delivers what is published to a sink.
@@ -111,7 +111,7 @@
 }
 
 // relist reports whether the error means that the store has to be listed again.
-func relist(err error) bool { return errors.Is(err, ErrForgotten) || errors.Is(err, ErrLong) }
+func relist(err error) bool { return errors.Is(err, ErrCompacted) || errors.Is(err, ErrTooLong) }
 
 // noteReachability records whether the store is lost, and logs when that changes.
 func (f *Follower) noteReachability(ctx context.Context, err error) {
@@ -158,7 +158,7 @@
 		sink.Offer(s.Document.Revision, []byte(s.Document.Document), "store")
 	}
 	f.offer(sink)
-	sink.Heard(asked, asked)
+	sink.Confirmed(asked, asked)
 	return nil
 }
 
@@ -254,7 +254,7 @@
 	}
 	if c.isEmpty() {
 		// If nothing happened during the whole wait, what is known was current until its end.
-		sink.Heard(asked, earlier(now, asked.Add(hold)))
+		sink.Confirmed(asked, earlier(now, asked.Add(hold)))
 		return nil
 	}
 	f.applyEvacuations(c)
@@ -265,7 +265,7 @@
 	// don't have to ask the store for.
 	f.offer(sink)
 	// Only now, as other hosts rely on the reported freshness of the revisions in force here.
-	sink.Heard(asked, now)
+	sink.Confirmed(asked, now)
 	wait.For(ctx, f.pauseAfterChange(eager))
 	return nil
 }
--- a/publish/follow_test.go
+++ b/publish/follow_test.go
@@ -80,9 +80,9 @@
 func (s *stubSink) OfferRoster(r *config.Roster, _ string) { s.roster = r }
 func (s *stubSink) Roster() *config.Roster                 { return s.roster }
 func (s *stubSink) Eager() bool                            { return !s.lazy }
-func (s *stubSink) Relies() bool                           { return s.relies }
-func (s *stubSink) Heard(time.Time, time.Time)             {}
-func (s *stubSink) HeardFor() (time.Duration, bool)        { return s.age, s.age > 0 }
+func (s *stubSink) ReliesOnPeers() bool                    { return s.relies }
+func (s *stubSink) Confirmed(time.Time, time.Time)         {}
+func (s *stubSink) ConfirmedAge() (time.Duration, bool)    { return s.age, s.age > 0 }
 func (s *stubSink) names() string {
 	var out []string
 	if s.roster != nil {
@@ -108,20 +108,20 @@
 	}{
 		{name: "listed", steps: []step{{list: all}}, want: "a1 a2 a3 a4 a5"},
 		{name: "come and gone", steps: []step{{list: all}, {added: []string{"a6"}}, {removed: []string{"a1"}}}, want: "a2 a3 a4 a5 a6"},
-		{name: "the store drops its history", steps: []step{{list: all}, {fail: ErrForgotten}, {list: all[1:]}}, want: "a2 a3 a4 a5"},
-		{name: "a watch's answer is longer than a listing", steps: []step{{list: all}, {fail: ErrLong}, {list: all[1:]}}, want: "a2 a3 a4 a5"},
+		{name: "the store drops its history", steps: []step{{list: all}, {fail: ErrCompacted}, {list: all[1:]}}, want: "a2 a3 a4 a5"},
+		{name: "a watch's answer is longer than a listing", steps: []step{{list: all}, {fail: ErrTooLong}, {list: all[1:]}}, want: "a2 a3 a4 a5"},
 		{name: "a watch's answer is incomplete", steps: []step{{list: all}, {fail: ErrIncomplete}, {list: all[1:]}}, want: "a2 a3 a4 a5"},
 		{name: "registrations expire in an outage", steps: []step{{list: all}, {fail: errUnavailable}, {fail: errUnavailable, after: minOutage}, {removed: all[:2]}},
 			want: "a1 a2 a3 a4 a5"},
 		{name: "registrations expire while the store is silent", steps: []step{{list: all}, {fail: context.DeadlineExceeded}, {removed: all[:2]}},
 			want: "a1 a2 a3 a4 a5"},
-		{name: "a watch is cut and one leaves meanwhile", steps: []step{{list: all}, {fail: errUnavailable}, {fail: ErrForgotten}, {list: all[1:]}},
+		{name: "a watch is cut and one leaves meanwhile", steps: []step{{list: all}, {fail: errUnavailable}, {fail: ErrCompacted}, {list: all[1:]}},
 			want: "a2 a3 a4 a5"},
-		{name: "an outage, and the store has dropped its history", steps: []step{{list: all}, {fail: context.DeadlineExceeded}, {fail: ErrForgotten}, {list: all[2:]}},
+		{name: "an outage, and the store has dropped its history", steps: []step{{list: all}, {fail: context.DeadlineExceeded}, {fail: ErrCompacted}, {list: all[2:]}},
 			want: "a1 a2 a3 a4 a5"},
 		{name: "a leaving endpoint goes in an outage", steps: []step{{list: all, change: leaving}, {fail: context.DeadlineExceeded}, {removed: all[:2]}},
 			want: "a1 a3 a4 a5"},
-		{name: "a watch is silent and one leaves meanwhile", steps: []step{{list: all}, {fail: context.DeadlineExceeded}, {fail: ErrForgotten}, {list: all[1:]}},
+		{name: "a watch is silent and one leaves meanwhile", steps: []step{{list: all}, {fail: context.DeadlineExceeded}, {fail: ErrCompacted}, {list: all[1:]}},
 			want: "a2 a3 a4 a5"},
 		{name: "one leaves soon after an outage", steps: []step{{list: all}, {fail: context.DeadlineExceeded}, {}, {removed: all[:1], after: unreliableFor}}, want: "a2 a3 a4 a5"},
 		{name: "most vanish at once", steps: []step{{list: all}, {removed: all[1:]}}, want: "a1 a2 a3 a4 a5"},
@@ -129,7 +129,7 @@
 		{name: "the address of a vanished endpoint is taken", steps: []step{{list: all}, {removed: all[1:]},
 			{added: []string{"b2"}}, {}}, want: "a1 a3 a4 a5 b2"},
 		{name: "vanished for long", steps: []step{{list: all}, {removed: all[1:]}, {added: []string{"a6"}, after: config.ExpiryGrace + time.Second}}, want: "a1 a6"},
-		{name: "the end of a vanished endpoint is reported later", steps: []step{{list: all}, {fail: context.DeadlineExceeded}, {fail: ErrForgotten}, {list: all[3:]},
+		{name: "the end of a vanished endpoint is reported later", steps: []step{{list: all}, {fail: context.DeadlineExceeded}, {fail: ErrCompacted}, {list: all[3:]},
 			{removed: all[:1], after: unreliableFor + time.Second}}, want: "a2 a3 a4 a5"},
 		{name: "a peer knows more than the listing", known: all, steps: []step{{list: all[3:]}}, want: "a1 a2 a3 a4 a5"},
 	}
@@ -371,7 +371,7 @@
 	s.revision = revision
 }
 
-func (s *freshSink) Heard(_, at time.Time) {
+func (s *freshSink) Confirmed(_, at time.Time) {
 	roster := config.Position(0)
 	if s.roster != nil {
 		roster = s.roster.Revision
@@ -456,7 +456,7 @@
 	}{
 		{"a later start", []step{{list: one, change: started(5)}, {added: one, change: started(6)}}, 6},
 		{"an earlier start in a watch", []step{{list: one, change: started(5)}, {added: one, change: started(4)}}, 5},
-		{"an earlier start in a listing", []step{{list: one, change: started(5)}, {fail: ErrForgotten}, {list: one, change: started(4)}}, 5},
+		{"an earlier start in a listing", []step{{list: one, change: started(5)}, {fail: ErrCompacted}, {list: one, change: started(4)}}, 5},
 		{"an earlier start after the endpoint had gone", []step{{list: one, change: started(5)}, {removed: one}, {added: one, change: started(4)}}, 4},
 		{"no start time", []step{{list: one, change: started(5)}, {added: one}}, 0},
 	}
--- a/publish/guard.go
+++ b/publish/guard.go
@@ -24,8 +24,8 @@
 // long beside other traffic.
 const maxAnswerTime = 15 * time.Second
 
-// ErrLong is returned for a watch whose answer is longer than a listing would be.
-var ErrLong = errors.New("the store's answer is longer than a listing")
+// ErrTooLong is returned for a watch whose answer is longer than a listing would be.
+var ErrTooLong = errors.New("the store's answer is longer than a listing")
 
 // ErrIncomplete is returned for an answer that began but didn't end.
 var ErrIncomplete = errors.New("the store's answer is incomplete")
@@ -103,7 +103,7 @@
 	g.mu.Unlock()
 	defer g.cancel(nil)
 	switch cause := context.Cause(g.ctx); {
-	case err == nil || errors.Is(err, ErrForgotten) || errors.Is(err, ErrLong):
+	case err == nil || errors.Is(err, ErrCompacted) || errors.Is(err, ErrTooLong):
 		return err
 	case began:
 		return errors.Wrapf(ErrIncomplete, "after %d bytes: %v", bytes, err)
--- a/publish/pace.go
+++ b/publish/pace.go
@@ -62,7 +62,7 @@
 	if eager {
 		maxHold = min(maxHold, f.eagerHold)
 	}
-	age, ever := sink.HeardFor()
+	age, ever := sink.ConfirmedAge()
 	if !ever {
 		return maxHold
 	}
@@ -73,7 +73,7 @@
 // they do. If every host had a watch, the store would answer each of them for each change; a few
 // watching hosts need only a small part of those calls.
 func (f *Follower) pauseWhileRelying(ctx context.Context, sink Sink) bool {
-	relies := sink.Relies() && !sink.Eager()
+	relies := sink.ReliesOnPeers() && !sink.Eager()
 	f.logRelying(relies)
 	if relies {
 		wait.For(ctx, relyCheckInterval)
--- a/publish/store.go
+++ b/publish/store.go
@@ -22,9 +22,9 @@
 	Close()
 }
 
-// ErrForgotten is returned if the store no longer has the requested changes, because it dropped
+// ErrCompacted is returned if the store no longer has the requested changes, because it dropped
 // its history or was restored from a backup.
-var ErrForgotten = errors.New("the store no longer has the changes since then")
+var ErrCompacted = errors.New("the store no longer has the changes since then")
 
 // ErrEarlierEra is returned for an answer that dates from before the store was restored from a
 // backup.
--- a/publish/words_test.go
+++ b/publish/words_test.go
@@ -66,7 +66,7 @@
 	case s.down:
 		return nil, errUnavailable
 	case after < s.compactedAt:
-		return nil, ErrForgotten
+		return nil, ErrCompacted
 	}
 	out := &Changes{At: s.at}
 	for _, w := range s.events {
@@ -120,11 +120,11 @@
 func (h *eventHost) OfferRoster(r *config.Roster, _ string) {
 	_, _ = h.board.Config.OfferRoster(r, time.Now())
 }
-func (h *eventHost) Roster() *config.Roster { return h.board.Config.Roster() }
-func (h *eventHost) Eager() bool            { return !h.lazy }
-func (h *eventHost) Relies() bool           { return false }
-func (h *eventHost) Heard(_, _ time.Time)   {}
-func (h *eventHost) HeardFor() (time.Duration, bool) {
+func (h *eventHost) Roster() *config.Roster   { return h.board.Config.Roster() }
+func (h *eventHost) Eager() bool              { return !h.lazy }
+func (h *eventHost) ReliesOnPeers() bool      { return false }
+func (h *eventHost) Confirmed(_, _ time.Time) {}
+func (h *eventHost) ConfirmedAge() (time.Duration, bool) {
 	return 0, false
 }
 
--- a/slope/slope.go
+++ b/slope/slope.go
@@ -55,12 +55,12 @@
 	go b.Serve(ctx, net.Listen("z", b.addr))
 	defer a.Close()
 	for range 3 { // warm-up: opens connections and sends type descriptions
-		a.Once(ctx, b.addr)
+		a.ExchangeOnce(ctx, b.addr)
 	}
 	startBytes, startCPU := a.Traffic.OnWire(), cpuTime()
 	for range exchangeCount {
 		a.refreshDigests(v)
-		a.Once(ctx, b.addr)
+		a.ExchangeOnce(ctx, b.addr)
 	}
 	out.Bytes = float64(a.Traffic.OnWire()-startBytes) / exchangeCount
 	out.CPUTime = (cpuTime() - startCPU) / exchangeCount / 2 // both hosts run in this process
