--- a/clock/clock.go
+++ b/clock/clock.go
@@ -33,9 +33,9 @@
 // simulated is the suspension that tests have added, in nanoseconds.
 var simulated atomic.Int64
 
-// Pretend adds d to the time that the machine counts as suspended. It is for tests, as the
+// SimulateSuspension adds d to the time that the machine counts as suspended. It is for tests, as the
 // kernel's clocks can't be set.
-func Pretend(d time.Duration) { simulated.Add(int64(d)) }
+func SimulateSuspension(d time.Duration) { simulated.Add(int64(d)) }
 
 // Suspended returns how long the machine has been suspended since the process started.
 func Suspended() time.Duration {
--- a/cmd/embercoved/cluster_test.go
+++ b/cmd/embercoved/cluster_test.go
@@ -247,7 +247,7 @@
 			return "no revision yet"
 		}
 		for _, e := range s.Endpoints {
-			if e.Age < 0 {
+			if e.DigestAgeSeconds < 0 {
 				return "no digest of " + e.Endpoint
 			}
 		}
--- a/cmd/embercoved/failure_test.go
+++ b/cmd/embercoved/failure_test.go
@@ -91,8 +91,8 @@
 				return ""
 			})
 			for h := range c.hosts {
-				if s, err := c.status(h); err == nil && len(s.Broken) > 0 {
-					t.Errorf("host %d: invariants broken: %v", h, s.Broken)
+				if s, err := c.status(h); err == nil && len(s.BrokenInvariants) > 0 {
+					t.Errorf("host %d: invariants broken: %v", h, s.BrokenInvariants)
 				}
 			}
 			t.Log(load.Sum(tc.name, rs, c.records(), c.doc.Targets, failureLoadTime).Text())
--- a/cmd/embercoved/main.go
+++ b/cmd/embercoved/main.go
@@ -113,7 +113,7 @@
 	hup := notifyHangup()
 	stop := make(chan os.Signal, 2)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
-	opts := []node.Option{node.WithLog(log), node.WithLogLines(sink)}
+	opts := []node.Option{node.WithLog(log), node.WithLogCounter(sink)}
 	if s.Protocol == config.ProtocolPlatform {
 		opts = append(opts, node.WithProtocol(platform.New(s, log, nil)))
 	}
--- a/cmd/embercoved/soak_test.go
+++ b/cmd/embercoved/soak_test.go
@@ -252,8 +252,8 @@
 			}
 			return ""
 		})
-		if st, err := s.c.status(h); err == nil && len(st.Broken) > 0 {
-			s.t.Errorf("host %d: invariants broken: %v", h, st.Broken)
+		if st, err := s.c.status(h); err == nil && len(st.BrokenInvariants) > 0 {
+			s.t.Errorf("host %d: invariants broken: %v", h, st.BrokenInvariants)
 		}
 	}
 }
--- a/entry/finish.go
+++ b/entry/finish.go
@@ -27,8 +27,8 @@
 // line. began says that the job has a row.
 func (e *Entry) finish(j *job, err *result.Error, began bool) {
 	inv := e.board.Invariant
-	inv.Check(!err.Code.NotRun() || !j.possiblyRan, invariant.NotRunClean, "request %s ends as %s", j.id, err.Code)
-	inv.Check(err.Code != result.OK || j.reply.complete(), invariant.CompleteMarked, "request %s ends cleanly before its last token", j.id)
+	inv.Check(!err.Code.NotRun() || !j.possiblyRan, invariant.NotRunDidNotRun, "request %s ends as %s", j.id, err.Code)
+	inv.Check(err.Code != result.OK || j.reply.complete(), invariant.CompleteOnlyIfWhole, "request %s ends cleanly before its last token", j.id)
 	if j.prompted && retry.LacksCapacity(err.Code) && err.RetryAfter > 0 {
 		err.RetryAfter = e.retryTimes.After(j.pool, err.RetryAfter)
 	}
--- a/entry/read.go
+++ b/entry/read.go
@@ -21,8 +21,8 @@
 // run, unless the endpoint vouches that it did nothing.
 func (e *Entry) prefill(ctx context.Context, j *job, p *plan) (*endpoint.Transfer, error) {
 	j.markPhase(1)
-	e.board.Invariant.Check(j.repeatable || !j.started, invariant.SingleRun, "request %s would start twice", j.id)
-	e.board.Invariant.Check(!p.prefillSpec.Leaving, invariant.LeavingNoWork, "request %s to leaving %s", j.id, p.prefillSpec.Name)
+	e.board.Invariant.Check(j.repeatable || !j.started, invariant.NotRepeatableOnce, "request %s would start twice", j.id)
+	e.board.Invariant.Check(!p.prefillSpec.Leaving, invariant.LeavingNoNewWork, "request %s to leaving %s", j.id, p.prefillSpec.Name)
 	if p.prefillAttempt.Number == 0 {
 		p.prefillAttempt = e.board.Requests.Open(j.id)
 	}
--- a/entry/relay.go
+++ b/entry/relay.go
@@ -21,7 +21,7 @@
 
 // decodeOnce makes one call to a decode engine and relays its output.
 func (e *Entry) decodeOnce(ctx context.Context, j *job, p *plan, kv *endpoint.Transfer) (err error) {
-	e.board.Invariant.Check(!p.decodeSpec.Leaving, invariant.LeavingNoWork, "request %s to leaving %s", j.id, p.decodeSpec.Name)
+	e.board.Invariant.Check(!p.decodeSpec.Leaving, invariant.LeavingNoNewWork, "request %s to leaving %s", j.id, p.decodeSpec.Name)
 	e.setPhase(j, blackboard.PhaseTransfer, func(r *blackboard.Request) { r.Decode = p.decodeSpec.Name })
 	j.decodeName = p.decodeSpec.Name
 	undo := j.markRun(true)
--- a/entry/run.go
+++ b/entry/run.go
@@ -31,7 +31,7 @@
 		if refusal := e.acquireProbe(ctx, j); refusal != nil {
 			return refusal
 		}
-		e.board.Invariant.Check(j.tries <= j.view.Doc.Limits.MaxAttempts, invariant.BudgetedRetries, "request %s: try %d", j.id, j.tries)
+		e.board.Invariant.Check(j.tries <= j.view.Doc.Limits.MaxAttempts, invariant.RetriesWithinBudget, "request %s: try %d", j.id, j.tries)
 		err := e.try(ctx, j)
 		if err == nil {
 			return nil
--- a/entry/service.go
+++ b/entry/service.go
@@ -182,8 +182,8 @@
 // be repeated is kept, in case no other try does better.
 func (e *Entry) callService(ctx context.Context, j *job, spec *config.Endpoint) (err error) {
 	inv := e.board.Invariant
-	inv.Check(j.repeatable || !j.started, invariant.SingleRun, "call %s would start twice", j.id)
-	inv.Check(!spec.Leaving, invariant.LeavingNoWork, "call %s to leaving %s", j.id, spec.Name)
+	inv.Check(j.repeatable || !j.started, invariant.NotRepeatableOnce, "call %s would start twice", j.id)
+	inv.Check(!spec.Leaving, invariant.LeavingNoNewWork, "call %s to leaving %s", j.id, spec.Name)
 	a := e.board.Requests.Open(j.id)
 	defer e.board.Requests.Close(a)
 	e.setPhase(j, blackboard.PhaseService, func(r *blackboard.Request) { r.Decode = spec.Name })
--- a/internal/wait/wait_test.go
+++ b/internal/wait/wait_test.go
@@ -25,7 +25,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				time.AfterFunc(time.Second, func() { clock.Pretend(tc.suspended) })
+				time.AfterFunc(time.Second, func() { clock.SimulateSuspension(tc.suspended) })
 				start := time.Now()
 				if !For(t.Context(), tc.waits) {
 					t.Error("the context ended")
--- a/invariant/invariant.go
+++ b/invariant/invariant.go
@@ -20,16 +20,16 @@
 // The invariants. docs/PROMISES.md lists the promise that each belongs to, and the
 // promises that have no invariant in the program.
 const (
-	TokenOnce       Name = "token_sent_once"        // a caller sees each token once, in order
-	AnswerOnce      Name = "request_answered_once"  // a request ends only once
-	OwnAnswer       Name = "answer_of_own_attempt"  // relayed bytes come from the current attempt
-	NotRunClean     Name = "not_run_did_not_run"    // a request refused as not run had no started attempt
-	SingleRun       Name = "not_repeatable_once"    // a request that isn't repeatable is started at most once
-	RevisionRises   Name = "revision_rises"         // the revision in force never decreases
-	LeavingNoWork   Name = "leaving_no_new_work"    // no new work is sent to an endpoint that is known to be leaving
-	DrainComplete   Name = "drain_complete"         // no request is in progress at the end of a planned stop
-	CompleteMarked  Name = "complete_only_if_whole" // a response is terminated cleanly only if it is complete
-	BudgetedRetries Name = "retries_within_budget"  // a request has no more attempts than the configuration allows
+	TokenOnce           Name = "token_sent_once"        // a caller sees each token once, in order
+	AnswerOnce          Name = "request_answered_once"  // a request ends only once
+	OwnAnswer           Name = "answer_of_own_attempt"  // relayed bytes come from the current attempt
+	NotRunDidNotRun     Name = "not_run_did_not_run"    // a request refused as not run had no started attempt
+	NotRepeatableOnce   Name = "not_repeatable_once"    // a request that isn't repeatable is started at most once
+	RevisionRises       Name = "revision_rises"         // the revision in force never decreases
+	LeavingNoNewWork    Name = "leaving_no_new_work"    // no new work is sent to an endpoint that is known to be leaving
+	DrainComplete       Name = "drain_complete"         // no request is in progress at the end of a planned stop
+	CompleteOnlyIfWhole Name = "complete_only_if_whole" // a response is terminated cleanly only if it is complete
+	RetriesWithinBudget Name = "retries_within_budget"  // a request has no more attempts than the configuration allows
 )
 
 // Set counts the broken invariants of a process. The zero value is ready to use;
--- a/meter/meter.go
+++ b/meter/meter.go
@@ -37,22 +37,22 @@
 // Conn is a connection whose traffic is counted in T.
 type Conn struct {
 	net.Conn
-	T *Traffic
+	Traffic *Traffic
 }
 
 // Read implements net.Conn.
 func (c Conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.T.In.Add(uint64(n))
-	c.T.Reads.Add(1)
+	c.Traffic.In.Add(uint64(n))
+	c.Traffic.Reads.Add(1)
 	return n, err
 }
 
 // Write implements net.Conn.
 func (c Conn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
-	c.T.Out.Add(uint64(n))
-	c.T.Writes.Add(1)
+	c.Traffic.Out.Add(uint64(n))
+	c.Traffic.Writes.Add(1)
 	return n, err
 }
 
--- a/meter/purpose.go
+++ b/meter/purpose.go
@@ -8,15 +8,15 @@
 
 // The purposes.
 const (
-	Exchange Purpose = iota // heartbeats and digests, exchanged with one host per round
-	News                    // exchanges without digests: changes that must take effect soon, and names
-	Members                 // exchanges that carry every host's heartbeat
-	Fetch                   // documents and rosters
-	Owners                  // queue admissions, reservations and releases at the owners of endpoints
-	Books                   // calls between owners: handovers of schedulers, claims, cached prompts
-	Quotas                  // quotas of teams
-	Keys                    // idempotency keys
-	Pings                   // liveness probes
+	Exchange      Purpose = iota // heartbeats and digests, exchanged with one host per round
+	Announcements                // exchanges without digests: changes that must take effect soon, and names
+	Members                      // exchanges that carry every host's heartbeat
+	Fetch                        // documents and rosters
+	OwnerCalls                   // queue admissions, reservations and releases at the owners of endpoints
+	OwnerSync                    // calls between owners: handovers of schedulers, claims, cached prompts
+	Quotas                       // quotas of teams
+	Keys                         // idempotency keys
+	Pings                        // liveness probes
 	purposeCount
 )
 
@@ -34,15 +34,15 @@
 	return out
 }
 
-// Spent counts a host's traffic for one purpose: bytes of messages without packet headers,
+// PurposeCounters counts a host's traffic for one purpose: bytes of messages without packet headers,
 // and the calls that it made and that it answered.
-type Spent struct {
+type PurposeCounters struct {
 	In, Out        atomic.Uint64
 	Made, Answered atomic.Uint64
 }
 
-// Ledger counts traffic by purpose. The zero value is ready to use.
-type Ledger [purposeCount]Spent
+// PurposeTraffic counts traffic by purpose. The zero value is ready to use.
+type PurposeTraffic [purposeCount]PurposeCounters
 
 // Of returns the counters of a purpose.
-func (l *Ledger) Of(p Purpose) *Spent { return &l[p] }
+func (l *PurposeTraffic) Of(p Purpose) *PurposeCounters { return &l[p] }
--- a/node/admin.go
+++ b/node/admin.go
@@ -34,7 +34,7 @@
 	mux.Handle("GET "+PathMetrics, n.metrics.handler)
 	mux.HandleFunc("GET "+PathStatus, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, n.Status()) })
 	mux.HandleFunc("GET "+PathRequests, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, n.requests()) })
-	mux.HandleFunc("GET "+PathBurn, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, n.Record.Burn(time.Now())) })
+	mux.HandleFunc("GET "+PathBurn, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, n.Recorder.Burn(time.Now())) })
 	mux.HandleFunc("GET "+PathConfig, n.config)
 	mux.HandleFunc("GET "+PathExplain, n.explain)
 	mux.HandleFunc("GET "+PathSuspects, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, n.suspects()) })
@@ -63,24 +63,24 @@
 
 // RequestRow describes a request in progress.
 type RequestRow struct {
-	ID      string  `json:"id"`
-	Team    string  `json:"team"`
-	Model   string  `json:"model"`
-	Phase   string  `json:"phase"`
-	Age     float64 `json:"age_s"`
-	InPhase float64 `json:"in_phase_s"`
-	Prefill string  `json:"prefill,omitempty"`
-	Decode  string  `json:"decode,omitempty"`
-	Attempt uint32  `json:"attempts"`
-	Tokens  int     `json:"prompt_tokens"`
+	ID           string  `json:"id"`
+	Team         string  `json:"team"`
+	Model        string  `json:"model"`
+	Phase        string  `json:"phase"`
+	AgeSeconds   float64 `json:"age_s"`
+	PhaseSeconds float64 `json:"in_phase_s"`
+	Prefill      string  `json:"prefill,omitempty"`
+	Decode       string  `json:"decode,omitempty"`
+	Attempts     uint32  `json:"attempts"`
+	PromptTokens int     `json:"prompt_tokens"`
 }
 
 func (n *Node) requests() []RequestRow {
 	now := time.Now()
 	out := []RequestRow{}
 	for _, r := range n.Board.Requests.List() {
-		out = append(out, RequestRow{ID: r.ID.String(), Team: r.Team, Model: r.Model, Phase: string(r.Phase), Age: now.Sub(r.Since).Seconds(),
-			InPhase: now.Sub(r.PhaseSince).Seconds(), Prefill: r.Prefill, Decode: r.Decode, Attempt: r.Attempt, Tokens: r.Tokens})
+		out = append(out, RequestRow{ID: r.ID.String(), Team: r.Team, Model: r.Model, Phase: string(r.Phase), AgeSeconds: now.Sub(r.Since).Seconds(),
+			PhaseSeconds: now.Sub(r.PhaseSince).Seconds(), Prefill: r.Prefill, Decode: r.Decode, Attempts: r.Attempt, PromptTokens: r.Tokens})
 	}
 	return out
 }
@@ -101,17 +101,17 @@
 
 // Explanation says where a request would go, and why.
 type Explanation struct {
-	Revision   uint64            `json:"revision"`
-	Labels     map[string]string `json:"labels"`
-	Route      string            `json:"route"`
-	Refusal    string            `json:"refusal,omitempty"`
-	Prefill    string            `json:"prefill,omitempty"`
-	Decode     string            `json:"decode,omitempty"`
-	Wait       float64           `json:"wait_s"`
-	Read       float64           `json:"read_s"`
-	Move       float64           `json:"move_s"`
-	Target     float64           `json:"ttft_target_s"`
-	Candidates []route.Candidate `json:"candidates"`
+	Revision          uint64            `json:"revision"`
+	Labels            map[string]string `json:"labels"`
+	Route             string            `json:"route"`
+	Refusal           string            `json:"refusal,omitempty"`
+	Prefill           string            `json:"prefill,omitempty"`
+	Decode            string            `json:"decode,omitempty"`
+	QueueSeconds      float64           `json:"wait_s"`
+	PrefillSeconds    float64           `json:"read_s"`
+	TransferSeconds   float64           `json:"move_s"`
+	TTFTTargetSeconds float64           `json:"ttft_target_s"`
+	Candidates        []route.Candidate `json:"candidates"`
 	// Regions says of each other region whether the request would be redirected to it if its
 	// own region refused it now.
 	Regions []entry.RegionChoice `json:"regions,omitempty"`
@@ -143,7 +143,7 @@
 
 // Explain computes where a request with the labels would be routed now.
 func (n *Node) Explain(v *config.View, labels map[string]string, tokens, maxTokens int) Explanation {
-	ex := Explanation{Revision: v.Revision, Labels: labels, Target: v.Doc.Targets.TTFT().Seconds()}
+	ex := Explanation{Revision: v.Revision, Labels: labels, TTFTTargetSeconds: v.Doc.Targets.TTFT().Seconds()}
 	if v.Teams[labels["team"]] == nil {
 		ex.Refusal = result.UnknownTeam.String()
 		return ex
@@ -177,8 +177,8 @@
 			return
 		}
 		ex.Prefill, ex.Decode = c.Prefill.Name, c.Decode.Name
-		ex.Wait, ex.Read, ex.Move = c.QueueDuration.Seconds(), c.PrefillDuration.Seconds(), c.TransferDuration.Seconds()
-		if ex.Wait+ex.Read+ex.Move > ex.Target {
+		ex.QueueSeconds, ex.PrefillSeconds, ex.TransferSeconds = c.QueueDuration.Seconds(), c.PrefillDuration.Seconds(), c.TransferDuration.Seconds()
+		if ex.QueueSeconds+ex.PrefillSeconds+ex.TransferSeconds > ex.TTFTTargetSeconds {
 			ex.Refusal = result.TooLate.String() + " according to the latest digests; the owner decides"
 		}
 	})
--- a/node/evacuations.go
+++ b/node/evacuations.go
@@ -9,11 +9,11 @@
 
 // EvacuationStatus is a failure domain that is being evacuated.
 type EvacuationStatus struct {
-	Domain   string          `json:"failure_domain"`
-	Since    float64         `json:"known_s"`  // for how long it has been in force here
-	Revision config.Position `json:"revision"` // at which it was published
-	From     string          `json:"from"`     // the store, or the peer that reported it
-	Running  int             `json:"running"`  // calls of this host that still run there
+	Domain       string          `json:"failure_domain"`
+	KnownSeconds float64         `json:"known_s"`  // for how long it has been in force here
+	Revision     config.Position `json:"revision"` // at which it was published
+	From         string          `json:"from"`     // the store, or the peer that reported it
+	Running      int             `json:"running"`  // calls of this host that still run there
 }
 
 // evacuations lists the failure domains that are being evacuated.
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -94,13 +94,13 @@
 		{"copied_prompt_tokens", "tokens of prompts whose memory was to be copied", true, func() float64 { return float64(n.entry.Replicas.PromptTokens.Load()) }},
 		{"pauses", "pauses of the process that were noticed", true, func() float64 { return float64(n.Board.Pause.Count()) }},
 		{"suspended_seconds", "for which the machine was suspended since the process started", true, func() float64 { return clock.Suspended().Seconds() }},
-		{"requests_good", "requests answered within both targets", true, func() float64 { return float64(n.Record.Totals().Good) }},
+		{"requests_good", "requests answered within both targets", true, func() float64 { return float64(n.Recorder.Totals().Good) }},
 		{"requests_judged", "requests that count against the objective", true, func() float64 {
-			s := n.Record.Totals()
+			s := n.Recorder.Totals()
 			return float64(s.Good + s.Late + s.Bad)
 		}},
-		{"prefill_tokens", "prompt tokens read", true, func() float64 { return float64(n.Record.Totals().Prefilled) }},
-		{"prefill_tokens_wasted", "prompt tokens read for no answer", true, func() float64 { return float64(n.Record.Totals().Wasted) }},
+		{"prefill_tokens", "prompt tokens read", true, func() float64 { return float64(n.Recorder.Totals().Prefilled) }},
+		{"prefill_tokens_wasted", "prompt tokens read for no answer", true, func() float64 { return float64(n.Recorder.Totals().Wasted) }},
 		{"log_lines_dropped", "log lines dropped because the output was not read", true, func() float64 { return n.logCount(LogCounter.Dropped) }},
 		{"log_lines_written", "log lines written", true, func() float64 { return n.logCount(LogCounter.Written) }},
 		{"log_lines_left_out", "log lines of requests left out to bound their number", true, func() float64 { return float64(n.entry.LogLinesDropped()) }},
@@ -108,7 +108,7 @@
 		{"roster_era", "how often the store has come back from a copy, by its own count", false, func() float64 { return float64(n.Board.Config.RosterRevision().Era()) }},
 		{"platform_silent_seconds", "since the platform was last heard of", false, func() float64 { return n.Board.Config.Status(time.Now()).PlatformSilent }},
 		{"hosts_live", "hosts that count as live", false, func() float64 { return n.liveHosts() }},
-		{"answer_tokens", "tokens relayed to callers", true, func() float64 { return float64(n.Record.Totals().Tokens) }},
+		{"answer_tokens", "tokens relayed to callers", true, func() float64 { return float64(n.Recorder.Totals().Tokens) }},
 	}
 }
 
@@ -168,12 +168,12 @@
 func registerPurposes(n *Node, m metric.Meter) error {
 	for _, g := range []struct {
 		name, help string
-		read       func(s *meter.Spent) uint64
+		read       func(s *meter.PurposeCounters) uint64
 	}{
-		{"peer_bytes_in", "bytes of messages received from other hosts, by what for", func(s *meter.Spent) uint64 { return s.In.Load() }},
-		{"peer_bytes_out", "bytes of messages sent to other hosts, by what for", func(s *meter.Spent) uint64 { return s.Out.Load() }},
-		{"peer_calls_made", "calls made to other hosts, by what for", func(s *meter.Spent) uint64 { return s.Made.Load() }},
-		{"peer_calls_answered", "calls of other hosts answered, by what for", func(s *meter.Spent) uint64 { return s.Answered.Load() }},
+		{"peer_bytes_in", "bytes of messages received from other hosts, by what for", func(s *meter.PurposeCounters) uint64 { return s.In.Load() }},
+		{"peer_bytes_out", "bytes of messages sent to other hosts, by what for", func(s *meter.PurposeCounters) uint64 { return s.Out.Load() }},
+		{"peer_calls_made", "calls made to other hosts, by what for", func(s *meter.PurposeCounters) uint64 { return s.Made.Load() }},
+		{"peer_calls_answered", "calls of other hosts answered, by what for", func(s *meter.PurposeCounters) uint64 { return s.Answered.Load() }},
 	} {
 		_, err := m.Float64ObservableCounter(g.name, metric.WithDescription(g.help), metric.WithFloat64Callback(func(_ context.Context, o metric.Float64Observer) error {
 			for _, p := range meter.Purposes() {
@@ -235,7 +235,7 @@
 	}
 	_, err = meter.Float64ObservableGauge("latency_ms", metric.WithDescription("quantiles since the start of the process"),
 		metric.WithFloat64Callback(func(_ context.Context, o metric.Float64Observer) error {
-			ttft, tpot := n.Record.Latencies()
+			ttft, tpot := n.Recorder.Latencies()
 			for _, q := range []struct {
 				of, quantile string
 				v            float64
--- a/node/node.go
+++ b/node/node.go
@@ -30,10 +30,10 @@
 
 // Node is an entry host.
 type Node struct {
-	Board  *blackboard.Board
-	Owner  *owner.Owner
-	Router *peer.Router
-	Record *report.Recorder
+	Board    *blackboard.Board
+	Owner    *owner.Owner
+	Router   *peer.Router
+	Recorder *report.Recorder
 
 	settings      *config.Settings
 	Client        *endpoint.Client // speaks embercove's own protocol
@@ -72,8 +72,8 @@
 	Written() uint64
 }
 
-// WithLogLines exports the counts of log lines as metrics.
-func WithLogLines(l LogCounter) Option { return func(n *Node) { n.logCounter = l } }
+// WithLogCounter exports the counts of log lines as metrics.
+func WithLogCounter(l LogCounter) Option { return func(n *Node) { n.logCounter = l } }
 
 // WithNetwork sets how the node listens and dials. By default it uses TCP.
 func WithNetwork(listen func(address string) (net.Listener, error), dial endpoint.Dial) Option {
@@ -83,15 +83,17 @@
 // Protocol replaces embercove's own protocols with engines, the platform and
 // callers.
 type Protocol struct {
-	Engine endpoint.Engine
-	Feed   publish.Feed
-	Store  *meter.Traffic                    // with the platform's store
-	Front  func(e *entry.Entry) http.Handler // the callers' interface
+	Engine       endpoint.Engine
+	Feed         publish.Feed
+	StoreTraffic *meter.Traffic                    // with the platform's store
+	NewHandler   func(e *entry.Entry) http.Handler // the callers' interface
 }
 
 // WithProtocol makes the node speak p instead of embercove's own protocols.
 func WithProtocol(p Protocol) Option {
-	return func(n *Node) { n.engine, n.feed, n.newHandler, n.storeTraffic = p.Engine, p.Feed, p.Front, p.Store }
+	return func(n *Node) {
+		n.engine, n.feed, n.newHandler, n.storeTraffic = p.Engine, p.Feed, p.NewHandler, p.StoreTraffic
+	}
 }
 
 // WithFatal sets a function that is called when an invariant is broken, for tests.
@@ -99,13 +101,13 @@
 	return func(n *Node) { n.Board.Invariant.Fatal = f }
 }
 
-// WithCopies replaces copies.Standing, the policy that decides which running requests get
+// WithReplicaPolicy replaces copies.Standing, the policy that decides which running requests get
 // a replica of their KV cache.
-func WithCopies(p copies.Policy) Option { return func(n *Node) { n.replicaPolicy = p } }
+func WithReplicaPolicy(p copies.Policy) Option { return func(n *Node) { n.replicaPolicy = p } }
 
 // New returns a node that isn't running yet.
 func New(s *config.Settings, opts ...Option) (*Node, error) {
-	n := &Node{settings: s, Board: blackboard.New(s), Record: report.NewRecorder(), log: zap.NewNop(), suspendedAtDrop: clock.Suspended(), storeTraffic: new(meter.Traffic), failed: make(chan error, 4), replicaPolicy: copies.DefaultPolicy,
+	n := &Node{settings: s, Board: blackboard.New(s), Recorder: report.NewRecorder(), log: zap.NewNop(), suspendedAtDrop: clock.Suspended(), storeTraffic: new(meter.Traffic), failed: make(chan error, 4), replicaPolicy: copies.DefaultPolicy,
 		listen: func(a string) (net.Listener, error) { return net.Listen("tcp", a) }}
 	for _, o := range opts {
 		o(n)
@@ -118,7 +120,7 @@
 	}
 	n.Owner = owner.New(n.Board, n.engine, n.log)
 	n.Router = peer.NewRouter(n.Board, n.Owner, peer.Dial(n.dial), n.log)
-	n.entry = entry.New(n.Board, n.engine, n.Router, n.Record, n.log)
+	n.entry = entry.New(n.Board, n.engine, n.Router, n.Recorder, n.log)
 	n.entry.ReplicaPolicy = n.replicaPolicy
 	if n.feed == nil {
 		n.platform = publish.NewClient(s.Platform, n.dial)
@@ -131,7 +133,7 @@
 		return nil, err
 	}
 	n.metrics = m
-	n.Router.OnAccepted, n.Router.OnEvacuated = func(v *config.View) { n.Record.SetTargets(v.Doc.Targets) }, n.Owner.RefuseEvacuated
+	n.Router.OnAccepted, n.Router.OnEvacuated = func(v *config.View) { n.Recorder.SetTargets(v.Doc.Targets) }, n.Owner.RefuseEvacuated
 	n.pool = blackboard.NewPool(n.Board, n.Router.Flusher(), n.Owner.Poller(), n.Router.Exchanger(), n.Router.Watcher(), n.Router.KeySweeper(), n.Router.Seeder(), n.Router.RegistrationExpirer(), n.Router.RecoveryChecker(), n.Owner.Balancer(), n.Owner.VoteController(), n.Router.Settler(), n.Router.MarksSweeper(), n.processLogger())
 	n.Board.Pause.OnWake(n.dropStaleState)
 	return n, nil
--- a/node/regions.go
+++ b/node/regions.go
@@ -13,21 +13,21 @@
 
 // RegionStatus is the state of a remote region as this host sees it.
 type RegionStatus struct {
-	Region string       `json:"region"`
-	Trip   float64      `json:"trip_ms"` // round trip of a message
-	Left   uint64       `json:"left"`    // requests redirected to it
-	Quiet  bool         `json:"quiet"`   // avoided: an owner there didn't answer just now
-	Pools  []PoolStatus `json:"pools"`
+	Region          string       `json:"region"`
+	RoundTripMillis float64      `json:"trip_ms"` // round trip of a message
+	Redirected      uint64       `json:"left"`    // requests redirected to it
+	Avoided         bool         `json:"quiet"`   // avoided: an owner there didn't answer just now
+	Pools           []PoolStatus `json:"pools"`
 }
 
 // PoolStatus is what is known of a pool in a remote region.
 type PoolStatus struct {
-	Pool   string  `json:"pool"`
-	Places uint32  `json:"places"` // capacity that it offers to all other regions
-	Wait   float64 `json:"wait_ms"`
-	Age    float64 `json:"age_s"` // of the latest summary; -1: none was received
-	Trust  float64 `json:"trust"` // weight of the summary, which falls with its age from 1 to 0
-	Sent   int     `json:"sent"`  // requests that this host has sent since the summary was made
+	Pool       string  `json:"pool"`
+	Capacity   uint32  `json:"places"` // capacity that it offers to all other regions
+	WaitMillis float64 `json:"wait_ms"`
+	AgeSeconds float64 `json:"age_s"` // of the latest summary; -1: none was received
+	Trust      float64 `json:"trust"` // weight of the summary, which falls with its age from 1 to 0
+	Sent       int     `json:"sent"`  // requests that this host has sent since the summary was made
 }
 
 // regions lists the remote regions.
@@ -37,8 +37,8 @@
 			continue
 		}
 		number := config.NameNumber(name)
-		row := RegionStatus{Region: name, Trip: float64(n.Board.Regions.RoundTrip(number).Microseconds()) / 1000,
-			Left: n.Board.Regions.Redirected(number), Quiet: n.Board.Regions.Avoided(number, now)}
+		row := RegionStatus{Region: name, RoundTripMillis: float64(n.Board.Regions.RoundTrip(number).Microseconds()) / 1000,
+			Redirected: n.Board.Regions.Redirected(number), Avoided: n.Board.Regions.Avoided(number, now)}
 		for _, pool := range poolNames(v, name) {
 			row.Pools = append(row.Pools, n.poolStatus(number, pool, now))
 		}
@@ -49,9 +49,9 @@
 
 func (n *Node) poolStatus(number uint32, pool string, now time.Time) PoolStatus {
 	t := n.Board.Regions.Find(number, config.NameNumber(pool), now)
-	out := PoolStatus{Pool: pool, Places: t.Capacity, Wait: float64(t.WaitMillis), Age: -1, Sent: t.Sent}
+	out := PoolStatus{Pool: pool, Capacity: t.Capacity, WaitMillis: float64(t.WaitMillis), AgeSeconds: -1, Sent: t.Sent}
 	if t.Known {
-		out.Age, out.Trust = t.Age.Seconds(), region.Trust(t.Age)
+		out.AgeSeconds, out.Trust = t.Age.Seconds(), region.Trust(t.Age)
 	}
 	return out
 }
@@ -84,7 +84,7 @@
 				return nil
 			}
 			for _, r := range n.regions(v, time.Now()) {
-				o.Observe(float64(r.Left), metric.WithAttributes(attribute.String("from", n.settings.Region), attribute.String("to", r.Region)))
+				o.Observe(float64(r.Redirected), metric.WithAttributes(attribute.String("from", n.settings.Region), attribute.String("to", r.Region)))
 			}
 			return nil
 		}))
--- a/node/status.go
+++ b/node/status.go
@@ -13,78 +13,78 @@
 
 // Status is the state of a host and of the cluster as it sees it.
 type Status struct {
-	Host      string                  `json:"host"`
-	Domain    string                  `json:"failure_domain"`
-	Region    string                  `json:"region"`
-	Up        float64                 `json:"up_s"`
-	Leaving   bool                    `json:"leaving"`
-	Config    blackboard.ConfigStatus `json:"config"`
-	Hosts     []HostStatus            `json:"hosts"`
-	Endpoints []EndpointStatus        `json:"endpoints"`
-	Evacuated []EvacuationStatus      `json:"evacuations,omitempty"`
-	Quotas    []QuotaStatus           `json:"quotas"`
-	Regions   []RegionStatus          `json:"regions,omitempty"` // remote ones
-	Sum       report.Totals           `json:"sum"`
-	TTFT      report.Quantiles        `json:"ttft"`
-	TPOT      report.Quantiles        `json:"tpot"`
-	Progress  int                     `json:"requests_in_progress"`
-	Pauses    uint64                  `json:"pauses"`
-	Broken    map[string]uint64       `json:"invariants_broken"`
+	Host               string                  `json:"host"`
+	Domain             string                  `json:"failure_domain"`
+	Region             string                  `json:"region"`
+	UptimeSeconds      float64                 `json:"up_s"`
+	Leaving            bool                    `json:"leaving"`
+	Config             blackboard.ConfigStatus `json:"config"`
+	Hosts              []HostStatus            `json:"hosts"`
+	Endpoints          []EndpointStatus        `json:"endpoints"`
+	Evacuations        []EvacuationStatus      `json:"evacuations,omitempty"`
+	Quotas             []QuotaStatus           `json:"quotas"`
+	Regions            []RegionStatus          `json:"regions,omitempty"` // remote ones
+	Totals             report.Totals           `json:"sum"`
+	TTFT               report.Quantiles        `json:"ttft"`
+	TPOT               report.Quantiles        `json:"tpot"`
+	RequestsInProgress int                     `json:"requests_in_progress"`
+	Pauses             uint64                  `json:"pauses"`
+	BrokenInvariants   map[string]uint64       `json:"invariants_broken"`
 }
 
 // HostStatus is the state of an entry host as this host sees it.
 type HostStatus struct {
-	Host    string  `json:"host"`
-	Domain  string  `json:"failure_domain"`
-	Live    bool    `json:"live"`
-	Leaving bool    `json:"leaving"`
-	Doubted bool    `json:"doubted"`
-	Silent  float64 `json:"silent_s"`
+	Host          string  `json:"host"`
+	Domain        string  `json:"failure_domain"`
+	Live          bool    `json:"live"`
+	Leaving       bool    `json:"leaving"`
+	Unconfirmed   bool    `json:"doubted"`
+	SilentSeconds float64 `json:"silent_s"`
 }
 
 // EndpointStatus is the state of an endpoint as this host sees it.
 type EndpointStatus struct {
-	Endpoint string      `json:"endpoint"`
-	Role     config.Role `json:"role"`
-	Domain   string      `json:"failure_domain"`
-	Owner    string      `json:"owner"` // empty: there is no live host in its failure domain
-	State    string      `json:"state"`
-	Queue    uint32      `json:"queue_ms"`
-	Free     int32       `json:"free_tokens"`
-	Slots    int32       `json:"free_slots"`
-	Slow     float64     `json:"slow"`
-	Failing  uint8       `json:"failing_pct"`
-	Age      float64     `json:"digest_age_s"`   // -1: no digest was received
-	Cold     float64     `json:"cold_s"`         // how long it may still be cold; 0: it is warm
-	Starts   uint64      `json:"starts"`         // permits that this host granted while the endpoint was cold or announced a limit
-	Refused  uint64      `json:"starts_refused"` // permits
+	Endpoint         string      `json:"endpoint"`
+	Role             config.Role `json:"role"`
+	Domain           string      `json:"failure_domain"`
+	Owner            string      `json:"owner"` // empty: there is no live host in its failure domain
+	State            string      `json:"state"`
+	QueueMillis      uint32      `json:"queue_ms"`
+	FreeTokens       int32       `json:"free_tokens"`
+	FreeSlots        int32       `json:"free_slots"`
+	SlowFactor       float64     `json:"slow"`
+	FailedPercent    uint8       `json:"failing_pct"`
+	DigestAgeSeconds float64     `json:"digest_age_s"`   // -1: no digest was received
+	ColdSeconds      float64     `json:"cold_s"`         // how long it may still be cold; 0: it is warm
+	PermitsGranted   uint64      `json:"starts"`         // permits that this host granted while the endpoint was cold or announced a limit
+	PermitsRefused   uint64      `json:"starts_refused"` // permits
 	// Limit is the number of requests a second that the endpoint announced as its limit; nil:
 	// it announced none.
-	Limit      *float64 `json:"limit_per_s,omitempty"`
-	LimitSince float64  `json:"limit_since_s,omitempty"` // how long ago it was announced
+	LimitPerSecond  *float64 `json:"limit_per_s,omitempty"`
+	LimitAgeSeconds float64  `json:"limit_since_s,omitempty"` // how long ago it was announced
 }
 
 // QuotaStatus is a team's quota in a failure domain, as seen by the host that holds it
 // there. Figures are in the quota's unit.
 type QuotaStatus struct {
-	Team    string   `json:"team"`
-	Rate    float64  `json:"rate"`              // limit per second, over all hosts
-	Free    float64  `json:"free"`              // what is left; at 0 and below requests are refused
-	Used    float64  `json:"used"`              // recently admitted per second in this failure domain
-	Asked   float64  `json:"asked"`             // recently requested per second in this failure domain
-	Use     float64  `json:"use"`               // share of the rate that is admitted in all failure domains together
-	Unheard []string `json:"unheard,omitempty"` // failure domains that can't be reached
+	Team               string   `json:"team"`
+	Rate               float64  `json:"rate"`              // limit per second, over all hosts
+	Free               float64  `json:"free"`              // what is left; at 0 and below requests are refused
+	AdmittedPerSecond  float64  `json:"used"`              // recently admitted per second in this failure domain
+	RequestedPerSecond float64  `json:"asked"`             // recently requested per second in this failure domain
+	UsedShare          float64  `json:"use"`               // share of the rate that is admitted in all failure domains together
+	UnreachableDomains []string `json:"unheard,omitempty"` // failure domains that can't be reached
 }
 
 // Status returns what PathStatus serves.
 func (n *Node) Status() Status {
 	now := time.Now()
-	ttft, tpot := n.Record.Latencies()
+	ttft, tpot := n.Recorder.Latencies()
 	s := Status{Host: n.settings.Host, Domain: n.settings.Domain, Region: n.settings.Region, Leaving: n.Board.Leaving(),
-		Up: now.Sub(time.UnixMilli(int64(n.Board.Incarnation))).Seconds(), Config: n.Board.Config.Status(now), Sum: n.Record.Totals(),
-		TTFT: ttft, TPOT: tpot, Progress: n.Board.Requests.Len(), Pauses: n.Board.Pause.Count(), Broken: map[string]uint64{}}
+		UptimeSeconds: now.Sub(time.UnixMilli(int64(n.Board.Incarnation))).Seconds(), Config: n.Board.Config.Status(now), Totals: n.Recorder.Totals(),
+		TTFT: ttft, TPOT: tpot, RequestsInProgress: n.Board.Requests.Len(), Pauses: n.Board.Pause.Count(), BrokenInvariants: map[string]uint64{}}
 	for name, c := range n.Board.Invariant.Counts() {
-		s.Broken[string(name)] = c
+		s.BrokenInvariants[string(name)] = c
 	}
 	for _, h := range n.Board.Hosts.List() {
 		s.Hosts = append(s.Hosts, HostStatus{h.Name, h.Domain, n.Board.Hosts.Live(h, now), h.Leaving, h.Unconfirmed, now.Sub(h.HeartbeatAt).Seconds()})
@@ -104,19 +104,19 @@
 			s.Endpoints = append(s.Endpoints, n.endpointStatus(fleet.View, st, now))
 		}
 	})
-	s.Evacuated = n.evacuations(now)
+	s.Evacuations = n.evacuations(now)
 	return s
 }
 
 func (n *Node) endpointStatus(v *config.View, st *route.State, now time.Time) EndpointStatus {
-	es := EndpointStatus{Endpoint: st.Spec.Name, Role: st.Role, Domain: st.Spec.Domain, State: stateName(st), Queue: st.Digest.QueueMillis,
-		Free: st.Digest.FreeTokens, Slots: st.Digest.FreeSlots, Slow: st.SlowFactor(), Failing: st.Digest.FailPct, Age: -1, Cold: st.ColdRemaining(now).Seconds()}
-	es.Starts, es.Refused = n.Owner.Permits.Count(st.Number)
+	es := EndpointStatus{Endpoint: st.Spec.Name, Role: st.Role, Domain: st.Spec.Domain, State: stateName(st), QueueMillis: st.Digest.QueueMillis,
+		FreeTokens: st.Digest.FreeTokens, FreeSlots: st.Digest.FreeSlots, SlowFactor: st.SlowFactor(), FailedPercent: st.Digest.FailPct, DigestAgeSeconds: -1, ColdSeconds: st.ColdRemaining(now).Seconds()}
+	es.PermitsGranted, es.PermitsRefused = n.Owner.Permits.Count(st.Number)
 	if w := st.Limit.Report(); w.Named {
-		es.Limit, es.LimitSince = &w.PerSecond, clock.Now().Sub(st.Limit.Since).Seconds()
+		es.LimitPerSecond, es.LimitAgeSeconds = &w.PerSecond, clock.Now().Sub(st.Limit.Since).Seconds()
 	}
 	if !st.DigestAt.IsZero() {
-		es.Age = now.Sub(st.DigestAt).Seconds()
+		es.DigestAgeSeconds = now.Sub(st.DigestAt).Seconds()
 	}
 	if h, ok := owner.Of(n.Board, v, st.Spec, now); ok {
 		es.Owner = h.Name
--- a/node/suspects.go
+++ b/node/suspects.go
@@ -12,15 +12,15 @@
 
 // SuspectRow describes a request that endpoints crashed under, as operators see it.
 type SuspectRow struct {
-	Request  string  `json:"fingerprint"`
-	Stage    string  `json:"stage"`
-	Team     string  `json:"team"`
-	Verdict  string  `json:"verdict"`
-	Rest     float64 `json:"rest_s"` // seconds until it may be tried again; 0: now, or never
-	Ends     uint32  `json:"ends"`
-	Endpoint string  `json:"endpoint"` // that crashed last
-	SeenBy   string  `json:"seen_by"`
-	Age      float64 `json:"age_s"`
+	Request           string  `json:"fingerprint"`
+	Stage             string  `json:"stage"`
+	Team              string  `json:"team"`
+	Verdict           string  `json:"verdict"`
+	RetryAfterSeconds float64 `json:"rest_s"` // seconds until it may be tried again; 0: now, or never
+	Crashes           uint32  `json:"ends"`
+	LastEndpoint      string  `json:"endpoint"` // that crashed last
+	SeenBy            string  `json:"seen_by"`
+	AgeSeconds        float64 `json:"age_s"`
 }
 
 // suspects lists the requests with a failure mark.
@@ -33,7 +33,7 @@
 		}
 		verdict, rest := n.Board.Suspects.Evaluate(r.Request, now)
 		out = append(out, SuspectRow{Request: r.Request.String(), Stage: r.Stage.String(), Team: n.teamName(r.Team), Verdict: verdict.String(),
-			Rest: rest.Seconds(), Ends: r.Mark.Ends, Endpoint: r.Endpoint, SeenBy: r.Host, Age: float64(r.AgeMillis) / 1000})
+			RetryAfterSeconds: rest.Seconds(), Crashes: r.Mark.Ends, LastEndpoint: r.Endpoint, SeenBy: r.Host, AgeSeconds: float64(r.AgeMillis) / 1000})
 	}
 	return out
 }
--- a/peer/codec.go
+++ b/peer/codec.go
@@ -20,10 +20,10 @@
 	out     *bufio.Writer
 	read    *countingReader
 	written *countingWriter
-	ledger  *meter.Ledger
+	ledger  *meter.PurposeTraffic
 }
 
-func newWire(conn io.ReadWriteCloser, ledger *meter.Ledger) *wire {
+func newWire(conn io.ReadWriteCloser, ledger *meter.PurposeTraffic) *wire {
 	w := &wire{conn: conn, out: bufio.NewWriter(conn), ledger: ledger}
 	w.read = &countingReader{Reader: bufio.NewReader(conn)}
 	w.written = &countingWriter{w: w.out}
@@ -97,7 +97,7 @@
 }
 
 // newClient returns a client that counts the bytes of its calls.
-func newClient(conn io.ReadWriteCloser, ledger *meter.Ledger) *rpc.Client {
+func newClient(conn io.ReadWriteCloser, ledger *meter.PurposeTraffic) *rpc.Client {
 	return rpc.NewClientWithCodec(&clientCodec{wire: newWire(conn, ledger)})
 }
 
@@ -167,7 +167,7 @@
 	case methodFetch:
 		return meter.Fetch
 	case methodReserve, methodEnqueue, methodRelease:
-		return meter.Owners
+		return meter.OwnerCalls
 	case methodDraw, methodSettle:
 		return meter.Quotas
 	case methodKeyBegin, methodKeyEnd:
@@ -175,9 +175,9 @@
 	case methodPing:
 		return meter.Pings
 	case methodStanding:
-		return meter.News
+		return meter.Announcements
 	}
-	return meter.Books
+	return meter.OwnerSync
 }
 
 func purposeOfExchange(body any) meter.Purpose {
@@ -192,7 +192,7 @@
 	case e.All:
 		return meter.Members
 	case e.News:
-		return meter.News
+		return meter.Announcements
 	}
 	return meter.Exchange
 }
--- a/peer/conn.go
+++ b/peer/conn.go
@@ -13,7 +13,9 @@
 	meter.Conn
 }
 
-func counted(c net.Conn, t *meter.Traffic) countedConn { return countedConn{meter.Conn{Conn: c, T: t}} }
+func counted(c net.Conn, t *meter.Traffic) countedConn {
+	return countedConn{meter.Conn{Conn: c, Traffic: t}}
+}
 
 // trackedConn records when it was last read from.
 type trackedConn struct {
--- a/peer/pool.go
+++ b/peer/pool.go
@@ -23,7 +23,7 @@
 type pool struct {
 	dial    Dial
 	traffic *meter.Traffic
-	ledger  *meter.Ledger
+	ledger  *meter.PurposeTraffic
 
 	mu     sync.Mutex
 	conns  map[string]*rpc.Client
@@ -46,7 +46,7 @@
 // the timeout, and the next answer arrives.
 const deadAfter = 2
 
-func newPool(dial Dial, t *meter.Traffic, ledger *meter.Ledger) *pool {
+func newPool(dial Dial, t *meter.Traffic, ledger *meter.PurposeTraffic) *pool {
 	if dial == nil {
 		dial = (&net.Dialer{}).DialContext
 	}
--- a/peer/pool_test.go
+++ b/peer/pool_test.go
@@ -64,7 +64,7 @@
 					near, far := net.Pipe()
 					go srv.ServeConn(far)
 					return near, nil
-				}, new(meter.Traffic), new(meter.Ledger))
+				}, new(meter.Traffic), new(meter.PurposeTraffic))
 				got := ""
 				for range tc.calls {
 					err := p.call(context.Background(), "h", methodPing, &Nothing{}, new(Heartbeat), limit)
@@ -206,7 +206,7 @@
 			}()
 			return a, nil
 		}
-		p := newPool(dial, new(meter.Traffic), new(meter.Ledger))
+		p := newPool(dial, new(meter.Traffic), new(meter.PurposeTraffic))
 		ping := func(i int, limit time.Duration) error {
 			return p.call(context.Background(), fmt.Sprintf("10.0.%d.%d:1", i/250, i%250), methodPing, &Nothing{}, new(Heartbeat), limit)
 		}
--- a/peer/router.go
+++ b/peer/router.go
@@ -22,9 +22,9 @@
 // Router forwards calls to the owner of an endpoint or the holder of a key, which is this host
 // itself or a peer.
 type Router struct {
-	Traffic        meter.Traffic // with other hosts
-	PurposeTraffic meter.Ledger  // traffic by purpose
-	Fetches        meter.Fetches // fetches of what this host lacked
+	Traffic        meter.Traffic        // with other hosts
+	PurposeTraffic meter.PurposeTraffic // traffic by purpose
+	Fetches        meter.Fetches        // fetches of what this host lacked
 	// Accepted is called with each revision that takes effect. It may be nil, and is set before
 	// the router is used.
 	OnAccepted func(v *config.View)
--- a/proof/policy_test.go
+++ b/proof/policy_test.go
@@ -31,7 +31,7 @@
 // totals adds up the requests, tries and attempts that the hosts of a cluster recorded.
 func totals(c *trial.Cluster) (s report.Totals) {
 	for _, n := range c.Nodes {
-		h := n.Record.Totals()
+		h := n.Recorder.Totals()
 		s.Requests += h.Requests
 		s.Tries += h.Tries
 		s.Attempts += h.Attempts
--- a/slope/slope.go
+++ b/slope/slope.go
@@ -187,7 +187,7 @@
 			o.peerBytes += float64(n.Router.Traffic.OnWire())
 			o.pollBytes += float64(n.Client.Control.OnWire())
 			o.pollCount += float64(n.Owner.Polls.Load())
-			o.requests += float64(n.Record.Totals().Requests)
+			o.requests += float64(n.Recorder.Totals().Requests)
 		}
 		o.cpuSeconds = cpuTime().Seconds()
 		return o
--- a/tool/evacuations.go
+++ b/tool/evacuations.go
@@ -24,15 +24,15 @@
 func (t *tool) printEvacuations(statuses map[string]node.Status) {
 	byDomain := map[string]*evacuation{}
 	for _, s := range statuses {
-		for _, row := range s.Evacuated {
+		for _, row := range s.Evacuations {
 			e := byDomain[row.Domain]
 			if e == nil {
-				e = &evacuation{shortest: row.Since}
+				e = &evacuation{shortest: row.KnownSeconds}
 				byDomain[row.Domain] = e
 			}
 			e.hosts++
 			e.revision = max(e.revision, row.Revision)
-			e.longest, e.shortest = max(e.longest, row.Since), min(e.shortest, row.Since)
+			e.longest, e.shortest = max(e.longest, row.KnownSeconds), min(e.shortest, row.KnownSeconds)
 			e.running += row.Running
 			if strings.HasPrefix(row.From, "peer") {
 				e.learnedFromPeers++
--- a/tool/remote.go
+++ b/tool/remote.go
@@ -118,7 +118,7 @@
 				platformSilence = fmt.Sprintf("%.0fs", s.Config.PlatformSilent)
 			}
 			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%s\t%d\t%d\t%d\t%d\t%d\t%d\n", s.Host, s.Domain, s.Config.Revision, s.Config.Rejected, platformSilence,
-				s.Progress, s.Sum.Good, s.Sum.Late, s.Sum.Bad, s.Pauses, len(s.Broken))
+				s.RequestsInProgress, s.Totals.Good, s.Totals.Late, s.Totals.Bad, s.Pauses, len(s.BrokenInvariants))
 		}
 	})
 	t.printQuotas(statuses)
@@ -127,13 +127,13 @@
 	fmt.Fprintf(t.out, "\nas %s sees it:\n", firstHost.Host)
 	t.printTable("HOST\tDOMAIN\tSTATE\tSILENT", func(w io.Writer) {
 		for _, h := range firstHost.Hosts {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%.1fs\n", h.Host, h.Domain, hostState(h), h.Silent)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%.1fs\n", h.Host, h.Domain, hostState(h), h.SilentSeconds)
 		}
 	})
 	fmt.Fprintln(t.out)
 	t.printTable("ENDPOINT\tROLE\tDOMAIN\tOWNER\tSTATE\tQUEUE\tFREE TOKENS\tFREE SLOTS\tSLOW\tFAILING\tAGE", func(w io.Writer) {
 		for _, e := range firstHost.Endpoints {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%dms\t%d\t%d\t%.2f\t%d%%\t%s\n", e.Endpoint, e.Role, e.Domain, e.Owner, e.State, e.Queue, e.Free, e.Slots, e.Slow, e.Failing, formatAge(e.Age))
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%dms\t%d\t%d\t%.2f\t%d%%\t%s\n", e.Endpoint, e.Role, e.Domain, e.Owner, e.State, e.QueueMillis, e.FreeTokens, e.FreeSlots, e.SlowFactor, e.FailedPercent, formatAge(e.DigestAgeSeconds))
 		}
 	})
 	return nil
@@ -153,8 +153,8 @@
 		for _, a := range sortedKeys(statuses) {
 			s := statuses[a]
 			for _, q := range s.Quotas {
-				fmt.Fprintf(w, "%s\t%s\t%s\t%.0f/s\t%.0f\t%.0f/s\t%.0f/s\t%.0f%%\t%s\n", q.Team, s.Domain, s.Host, q.Rate, q.Free, q.Used, q.Asked,
-					100*q.Use, strings.Join(q.Unheard, " "))
+				fmt.Fprintf(w, "%s\t%s\t%s\t%.0f/s\t%.0f\t%.0f/s\t%.0f/s\t%.0f%%\t%s\n", q.Team, s.Domain, s.Host, q.Rate, q.Free, q.AdmittedPerSecond, q.RequestedPerSecond,
+					100*q.UsedShare, strings.Join(q.UnreachableDomains, " "))
 			}
 		}
 	})
@@ -173,7 +173,7 @@
 		return "leaving"
 	case !h.Live:
 		return "gone"
-	case h.Doubted:
+	case h.Unconfirmed:
 		return "doubted"
 	}
 	return "live"
@@ -204,7 +204,7 @@
 		fmt.Fprintf(t.out, "would be refused: %s\n", explanation.Refusal)
 	}
 	if explanation.Prefill != "" {
-		fmt.Fprintf(t.out, "would go to %s, then %s: wait %.3fs + read %.3fs + move %.3fs, target %.3fs\n", explanation.Prefill, explanation.Decode, explanation.Wait, explanation.Read, explanation.Move, explanation.Target)
+		fmt.Fprintf(t.out, "would go to %s, then %s: wait %.3fs + read %.3fs + move %.3fs, target %.3fs\n", explanation.Prefill, explanation.Decode, explanation.QueueSeconds, explanation.PrefillSeconds, explanation.TransferSeconds, explanation.TTFTTargetSeconds)
 	}
 	fmt.Fprintln(t.out)
 	t.printTable("\tENDPOINT\tROLE\tDOMAIN\tCOST\tQUEUE\tUNCACHED\tFREE TOKENS\tAGE\tWHY NOT", func(w io.Writer) {
@@ -244,7 +244,7 @@
 	t.printTable("ADMIN\tREQUEST\tTEAM\tMODEL\tPHASE\tAGE\tIN PHASE\tPREFILL\tDECODE\tATTEMPTS\tTOKENS", func(w io.Writer) {
 		for _, a := range sortedKeys(all) {
 			for _, r := range all[a] {
-				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%.2fs\t%.2fs\t%s\t%s\t%d\t%d\n", a, r.ID, r.Team, r.Model, r.Phase, r.Age, r.InPhase, r.Prefill, r.Decode, r.Attempt, r.Tokens)
+				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%.2fs\t%.2fs\t%s\t%s\t%d\t%d\n", a, r.ID, r.Team, r.Model, r.Phase, r.AgeSeconds, r.PhaseSeconds, r.Prefill, r.Decode, r.Attempts, r.PromptTokens)
 			}
 		}
 	})
--- a/tool/suspects.go
+++ b/tool/suspects.go
@@ -35,7 +35,7 @@
 	t.printTable("ADMIN\tFINGERPRINT\tSTAGE\tTEAM\tVERDICT\tREST\tENDS\tLAST ENDPOINT\tSEEN BY\tAGE", func(w io.Writer) {
 		for _, a := range sortedKeys(all) {
 			for _, r := range all[a] {
-				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%.0fs\t%d\t%s\t%s\t%.0fs\n", a, r.Request, r.Stage, r.Team, r.Verdict, r.Rest, r.Ends, r.Endpoint, r.SeenBy, r.Age)
+				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%.0fs\t%d\t%s\t%s\t%.0fs\n", a, r.Request, r.Stage, r.Team, r.Verdict, r.RetryAfterSeconds, r.Crashes, r.LastEndpoint, r.SeenBy, r.AgeSeconds)
 			}
 		}
 	})
--- a/tool/tool_test.go
+++ b/tool/tool_test.go
@@ -101,13 +101,13 @@
 		}
 		rec.Record(o, now.Add(-time.Duration(i)*time.Minute))
 	}
-	status := node.Status{Host: "is-a-1", Domain: "is-a", Config: blackboard.ConfigStatus{Revision: 7, Rejected: 8, PlatformSilent: 42}, Sum: rec.Totals(), Progress: 3,
-		Hosts:     []node.HostStatus{{Host: "is-a-1", Domain: "is-a", Live: true}, {Host: "is-b-1", Domain: "is-b", Live: false, Silent: 12}, {Host: "is-c-1", Domain: "is-c", Live: true, Leaving: true}},
-		Quotas:    []node.QuotaStatus{{Team: "press", Rate: 29_000, Free: -150, Used: 9_000, Asked: 31_000, Use: 0.97, Unheard: []string{"is-b"}}},
-		Evacuated: []node.EvacuationStatus{{Domain: "is-b", Since: 12.5, Revision: 41, From: "peer is-c-1", Running: 3}, {Domain: "is-c", Since: 2, Revision: 44, From: "store"}},
-		Endpoints: []node.EndpointStatus{{Endpoint: "docket-prefill-1", Role: config.Prefill, Domain: "is-a", Owner: "is-a-1", State: "ok", Queue: 120, Slow: 1, Age: 0.2},
-			{Endpoint: "docket-decode-1", Role: config.Decode, Domain: "is-b", State: "down", Slow: 1.5, Failing: 40, Age: -1}}}
-	rows := []node.RequestRow{{ID: "1-2-3", Team: "press", Model: "docket-reader", Phase: "decode", Age: 2.5, InPhase: 1.25, Prefill: "docket-prefill-1", Decode: "docket-decode-1", Attempt: 2, Tokens: 9000}}
+	status := node.Status{Host: "is-a-1", Domain: "is-a", Config: blackboard.ConfigStatus{Revision: 7, Rejected: 8, PlatformSilent: 42}, Totals: rec.Totals(), RequestsInProgress: 3,
+		Hosts:       []node.HostStatus{{Host: "is-a-1", Domain: "is-a", Live: true}, {Host: "is-b-1", Domain: "is-b", Live: false, SilentSeconds: 12}, {Host: "is-c-1", Domain: "is-c", Live: true, Leaving: true}},
+		Quotas:      []node.QuotaStatus{{Team: "press", Rate: 29_000, Free: -150, AdmittedPerSecond: 9_000, RequestedPerSecond: 31_000, UsedShare: 0.97, UnreachableDomains: []string{"is-b"}}},
+		Evacuations: []node.EvacuationStatus{{Domain: "is-b", KnownSeconds: 12.5, Revision: 41, From: "peer is-c-1", Running: 3}, {Domain: "is-c", KnownSeconds: 2, Revision: 44, From: "store"}},
+		Endpoints: []node.EndpointStatus{{Endpoint: "docket-prefill-1", Role: config.Prefill, Domain: "is-a", Owner: "is-a-1", State: "ok", QueueMillis: 120, SlowFactor: 1, DigestAgeSeconds: 0.2},
+			{Endpoint: "docket-decode-1", Role: config.Decode, Domain: "is-b", State: "down", SlowFactor: 1.5, FailedPercent: 40, DigestAgeSeconds: -1}}}
+	rows := []node.RequestRow{{ID: "1-2-3", Team: "press", Model: "docket-reader", Phase: "decode", AgeSeconds: 2.5, PhaseSeconds: 1.25, Prefill: "docket-prefill-1", Decode: "docket-decode-1", Attempts: 2, PromptTokens: 9000}}
 	mux := http.NewServeMux()
 	answer := func(path string, v any) {
 		mux.HandleFunc(path, func(w http.ResponseWriter, _ *http.Request) { json.NewEncoder(w).Encode(v) })
--- a/tool/trace.go
+++ b/tool/trace.go
@@ -32,9 +32,9 @@
 		return err
 	}
 	if *failed {
-		return t.printGroups(trace.Failed(lines), *asJSON)
+		return t.printGroups(trace.GroupFailed(lines), *asJSON)
 	}
-	found := trace.Of(lines, id)
+	found := trace.Stories(lines, id)
 	if len(found) == 0 {
 		fmt.Fprintf(t.err, "no log line of request %s\n", id)
 		return errFailed
--- a/trace/group.go
+++ b/trace/group.go
@@ -15,9 +15,9 @@
 // maxGroupIDs is the number of request ids that a group lists.
 const maxGroupIDs = 3
 
-// Failed groups the requests that got no complete answer by the cause of that. The
+// GroupFailed groups the requests that got no complete answer by the cause of that. The
 // largest groups come first.
-func Failed(lines []Line) []Group {
+func GroupFailed(lines []Line) []Group {
 	byID := map[string][]Line{}
 	groups := map[string]*Group{}
 	for _, l := range lines {
--- a/trace/trace.go
+++ b/trace/trace.go
@@ -104,9 +104,9 @@
 	Description string  `json:"what"`
 }
 
-// Of returns the stories of a request id. An id assigned by the router identifies one
+// Stories returns the stories of a request id. An id assigned by the router identifies one
 // request. A caller's id may identify several, as the caller may retry at other hosts.
-func Of(lines []Line, id string) []Story {
+func Stories(lines []Line, id string) []Story {
 	byID := map[string][]Line{}
 	var order []string
 	var refused []Story
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -34,7 +34,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var out bytes.Buffer
-			for _, s := range Of(lines, tc.id) {
+			for _, s := range Stories(lines, tc.id) {
 				s.Text(&out)
 			}
 			goldie.New(t).Assert(t, tc.name, out.Bytes())
@@ -45,7 +45,7 @@
 // TestFailed compares the groups of the recorded failures with a golden file.
 func TestFailed(t *testing.T) {
 	var out bytes.Buffer
-	for _, g := range Failed(readLog(t)) {
+	for _, g := range GroupFailed(readLog(t)) {
 		fmt.Fprintln(&out, g.Count, g.Name, g.Cause, g.IDs)
 	}
 	goldie.New(t).Assert(t, "failed", out.Bytes())
@@ -80,9 +80,9 @@
 	f.Fuzz(func(t *testing.T, src []byte) {
 		lines, _ := Read(bytes.NewReader(src))
 		for _, l := range lines {
-			Of(lines, l.ID)
+			Stories(lines, l.ID)
 		}
-		Failed(lines)
+		GroupFailed(lines)
 	})
 }
 
@@ -95,7 +95,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	stories := Of(lines, "c7")
+	stories := Stories(lines, "c7")
 	if len(stories) != 1 {
 		t.Fatalf("%d stories", len(stories))
 	}
@@ -103,7 +103,7 @@
 	if s.Host != "h1" || s.Name != "no_route" || !strings.Contains(s.Cause, "no route of host") || !strings.Contains(s.Events[0].Description, "under revision 6 and roster 40") {
 		t.Errorf("story %+v", s)
 	}
-	for _, g := range Failed(lines) {
+	for _, g := range GroupFailed(lines) {
 		if named := len(g.IDs) > 0; named != (g.Name == "no_route") {
 			t.Errorf("group %+v", g)
 		}
@@ -123,7 +123,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	stories := Of(lines, "c")
+	stories := Stories(lines, "c")
 	if len(stories) != 1 {
 		t.Fatalf("%d stories", len(stories))
 	}
