--- a/cmd/embercove-fake/main.go
+++ b/cmd/embercove-fake/main.go
@@ -76,7 +76,7 @@
 	case "runner":
 		return newRunner(o, f)
 	case "app":
-		app := &fake.App{Name: o.name, Takes: o.takes}
+		app := &fake.App{Name: o.name, Latency: o.takes}
 		app.SetFaults(f)
 		return app, nil
 	}
--- a/cmd/embercoved/failure_test.go
+++ b/cmd/embercoved/failure_test.go
@@ -23,7 +23,7 @@
 func failureArrivals(seed uint64) []load.Arrival {
 	as := load.Mixes["domaskra"].Arrivals(seed, failureRate, failureLoadTime, 0.125)
 	for i := range as {
-		as[i].Once = i%3 == 0
+		as[i].NotRepeatable = i%3 == 0
 	}
 	return as
 }
@@ -81,7 +81,7 @@
 			mayBreak := func(a load.Arrival) bool {
 				return host(a) == tc.killedHost || tc.name == "planned stop of a host" && host(a) == 0 && a.At > faultAt+time.Second
 			}
-			for _, violation := range load.Judge(rs, c.records(), mayBreak) {
+			for _, violation := range load.Verify(rs, c.records(), mayBreak) {
 				t.Error(violation)
 			}
 			c.eventually(func() string {
@@ -95,7 +95,7 @@
 					t.Errorf("host %d: invariants broken: %v", h, s.BrokenInvariants)
 				}
 			}
-			t.Log(load.Sum(tc.name, rs, c.records(), c.doc.Targets, failureLoadTime).Text())
+			t.Log(load.Summarize(tc.name, rs, c.records(), c.doc.Targets, failureLoadTime).Text())
 		})
 	}
 }
--- a/cmd/embercoved/soak_test.go
+++ b/cmd/embercoved/soak_test.go
@@ -94,8 +94,8 @@
 		e := s.c.doc.Endpoints[s.r.IntN(len(s.c.doc.Endpoints))].Name
 		mode := fake.Mode(1 + s.r.IntN(int(fake.SilentDown)))
 		s.logf("%s: %s for %s", e, mode, duration)
-		s.proxies[e].Set(mode)
-		s.after(duration, func() { s.proxies[e].Set(fake.Pass) })
+		s.proxies[e].SetMode(mode)
+		s.after(duration, func() { s.proxies[e].SetMode(fake.Pass) })
 	case 2:
 		s.logf("platform down for %s", duration)
 		s.getPlatform("/control/down?v=1")
@@ -195,7 +195,7 @@
 	}
 	arrivals := load.Mixes["domaskra"].Arrivals(seed, failureRate, *soakTime, 0.125)
 	for i := range arrivals {
-		arrivals[i].Once = i%3 == 0
+		arrivals[i].NotRepeatable = i%3 == 0
 	}
 	results := make(chan []load.Result)
 	go func() { results <- s.c.send(arrivals) }()
@@ -206,7 +206,7 @@
 	rs := <-results
 	s.wg.Wait()
 	for _, p := range s.proxies {
-		p.Set(fake.Pass)
+		p.SetMode(fake.Pass)
 	}
 	s.check(rs)
 	if t.Failed() {
@@ -232,7 +232,7 @@
 // memory, every host has the published revision, and no invariant was broken.
 func (s *soak) check(rs []load.Result) {
 	mayBreak := func(a load.Arrival) bool { return s.interrupted[a.Host%len(s.c.hosts)] }
-	for _, violation := range load.Judge(rs, s.c.records(), mayBreak) {
+	for _, violation := range load.Verify(rs, s.c.records(), mayBreak) {
 		s.t.Error(violation)
 	}
 	if countAnswered(rs) == 0 {
--- a/entry/input_test.go
+++ b/entry/input_test.go
@@ -94,7 +94,7 @@
 			t.Errorf("status %d, want 431", res.StatusCode)
 		}
 	})
-	if n := len(c.Truth()); n != 0 {
+	if n := len(c.Records()); n != 0 {
 		t.Errorf("%d calls reached endpoints, want none", n)
 	}
 }
--- a/internal/fake/app.go
+++ b/internal/fake/app.go
@@ -15,7 +15,7 @@
 // time, with a line that contains the hash of the call's body.
 type App struct {
 	Name    string
-	Takes   time.Duration
+	Latency time.Duration
 	faults  faultState
 	records recordList
 }
@@ -23,8 +23,8 @@
 // SetFaults replaces the faults to inject.
 func (a *App) SetFaults(f Faults) { a.faults.set(f) }
 
-// Truth returns the records of all attempts at the stand-in.
-func (a *App) Truth() []Record { return a.records.snapshot() }
+// Records returns the records of all attempts at the stand-in.
+func (a *App) Records() []Record { return a.records.snapshot() }
 
 // maxAppBody is the most that is read of a call's body, in bytes.
 const maxAppBody = 1 << 20
@@ -48,7 +48,7 @@
 		controlFaults(&a.faults, w, q)
 		return
 	case "/control/truth":
-		writeJSON(w, http.StatusOK, a.Truth())
+		writeJSON(w, http.StatusOK, a.Records())
 		return
 	}
 	body, _ := io.ReadAll(io.LimitReader(q.Body, maxAppBody))
@@ -56,7 +56,7 @@
 		closeConn(w)
 		return
 	}
-	if a.faults.consume(func(f *Faults) *int { return &f.RefuseUnvouch }) {
+	if a.faults.consume(func(f *Faults) *int { return &f.RefuseUnconfirmed }) {
 		writeProblem(w, http.StatusServiceUnavailable, "broken by fault", false)
 		return
 	}
@@ -67,7 +67,7 @@
 	rec := a.records.add(Record{ID: q.Header.Get(endpoint.HeaderRequestID), Role: "service", Prompt: xxhash.Sum64(body),
 		Ran: true, Repeatable: q.Header.Get(endpoint.HeaderRepeatable) != "false", Leaving: a.faults.get().Leaving,
 		StartedMS: time.Now().UnixMilli()})
-	time.Sleep(a.Takes + time.Duration(a.faults.get().LateMillis)*time.Millisecond)
+	time.Sleep(a.Latency + time.Duration(a.faults.get().DelayMillis)*time.Millisecond)
 	a.records.update(func() { rec.Finished = true })
 	if a.faults.consume(func(f *Faults) *int { return &f.CutAfter }) {
 		closeConn(w)
--- a/internal/fake/decode.go
+++ b/internal/fake/decode.go
@@ -33,7 +33,7 @@
 	a.length = AnswerLength(comp.Prompt, comp.MaxTokens)
 	a.indexes = make(chan int, max(0, a.length-a.next)+1)
 	go r.watchCaller(q, a)
-	time.Sleep(time.Duration(r.faults.get().LateMillis) * time.Millisecond)
+	time.Sleep(time.Duration(r.faults.get().DelayMillis) * time.Millisecond)
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
 	s := &eventWriter{w: w, controller: http.NewResponseController(w), id: a.id}
--- a/internal/fake/link.go
+++ b/internal/fake/link.go
@@ -29,9 +29,9 @@
 	receiving
 )
 
-// SetRate limits a host's link to a rate in bytes per second, for each
+// SetLinkRate limits a host's link to a rate in bytes per second, for each
 // direction. It applies to connections opened from now on.
-func (n *Network) SetRate(host string, rate int) {
+func (n *Network) SetLinkRate(host string, rate int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.links[host] = NewLink(rate)
--- a/internal/fake/network.go
+++ b/internal/fake/network.go
@@ -119,12 +119,12 @@
 
 // Dialer returns a dial function for a process in the zone, without a rate limit.
 func (n *Network) Dialer(zone string) func(ctx context.Context, network, address string) (net.Conn, error) {
-	return n.DialerOf(zone, "")
+	return n.HostDialer(zone, "")
 }
 
-// DialerOf returns a dial function for a process on a host in the zone. Its
+// HostDialer returns a dial function for a process on a host in the zone. Its
 // traffic passes the host's link.
-func (n *Network) DialerOf(zone, host string) func(ctx context.Context, network, address string) (net.Conn, error) {
+func (n *Network) HostDialer(zone, host string) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, _, address string) (net.Conn, error) {
 		n.mu.Lock()
 		l, to := n.listeners[address], n.zones[address]
--- a/internal/fake/prefill.go
+++ b/internal/fake/prefill.go
@@ -43,7 +43,7 @@
 		return
 	}
 	f := r.faults.get()
-	time.Sleep(time.Duration(f.LateMillis) * time.Millisecond)
+	time.Sleep(time.Duration(f.DelayMillis) * time.Millisecond)
 	e := r.export(a)
 	if r.faults.consume(func(f *Faults) *int { return &f.CutAfter }) {
 		closeConn(w)
--- a/internal/fake/proxy.go
+++ b/internal/fake/proxy.go
@@ -69,15 +69,15 @@
 // Address returns the address that the proxy listens on.
 func (p *Proxy) Address() string { return p.addr }
 
-// UsedWithin reports whether a caller has sent something within the last d.
-func (p *Proxy) UsedWithin(d time.Duration) bool {
+// ActiveWithin reports whether a caller has sent something within the last d.
+func (p *Proxy) ActiveWithin(d time.Duration) bool {
 	return time.Since(time.Unix(0, p.lastSent.Load())) < d
 }
 
 // Close stops the proxy for good and resets its connections.
 func (p *Proxy) Close() {
 	p.Stop()
-	p.Set(Pass) // releases goroutines that wait in mode Cut
+	p.SetMode(Pass) // releases goroutines that wait in mode Cut
 }
 
 // Stop resets the open connections and refuses new ones, as when the process at the address has
@@ -89,8 +89,8 @@
 	p.Reset()
 }
 
-// Again listens on the same address again, after Stop.
-func (p *Proxy) Again() error {
+// Relisten listens on the same address again, after Stop.
+func (p *Proxy) Relisten() error {
 	l, err := net.Listen("tcp", p.addr)
 	if err != nil {
 		return err
@@ -221,9 +221,9 @@
 	}
 }
 
-// Set changes the mode. Changing from SilentUp or SilentDown resets the open connections, as
+// SetMode changes the mode. Changing from SilentUp or SilentDown resets the open connections, as
 // bytes of their streams were dropped.
-func (p *Proxy) Set(m Mode) {
+func (p *Proxy) SetMode(m Mode) {
 	if old := Mode(p.mode.Swap(int32(m))); m == Reset || old == SilentUp || old == SilentDown {
 		p.Reset()
 	}
--- a/internal/fake/runner.go
+++ b/internal/fake/runner.go
@@ -72,8 +72,8 @@
 	return r.currentVersion()
 }
 
-// Truth returns the records of all attempts at the stand-in.
-func (r *Runner) Truth() []Record { return r.records.snapshot() }
+// Records returns the records of all attempts at the stand-in.
+func (r *Runner) Records() []Record { return r.records.snapshot() }
 
 // Held returns the number of attempts that hold memory, and how many tokens they hold.
 func (r *Runner) Held() (attempts, tokens int) {
@@ -103,7 +103,7 @@
 	case path == "/control/faults":
 		controlFaults(&r.faults, w, q)
 	case path == "/control/truth":
-		writeJSON(w, http.StatusOK, r.Truth())
+		writeJSON(w, http.StatusOK, r.Records())
 	default:
 		http.NotFound(w, q)
 	}
@@ -143,7 +143,7 @@
 		writeProblem(w, http.StatusServiceUnavailable, "refused by fault", true)
 		return
 	}
-	if r.faults.consume(func(f *Faults) *int { return &f.RefuseUnvouch }) {
+	if r.faults.consume(func(f *Faults) *int { return &f.RefuseUnconfirmed }) {
 		writeProblem(w, http.StatusInternalServerError, "broken by fault", false)
 		return
 	}
@@ -180,8 +180,8 @@
 }
 
 func (r *Runner) currentVersion() string {
-	if f := r.faults.get(); f.WrongState != "" {
-		return f.WrongState
+	if f := r.faults.get(); f.WrongVersion != "" {
+		return f.WrongVersion
 	}
 	return r.version
 }
--- a/load/bound.go
+++ b/load/bound.go
@@ -116,7 +116,7 @@
 	var prefill, transfer []float64
 	seen := map[uint64]bool{}
 	for _, a := range arrivals {
-		if a.Leaves == 0 {
+		if a.LeaveAfter == 0 {
 			prefill = append(prefill, float64(uncachedTokens(a, seen))/pre.tokensPerSecond)
 			transfer = append(transfer, float64(endpoint.Tokens(len(a.Prompt)))*dec.kvBytesPerToken/dec.totalLinkRate)
 		}
--- a/load/judge.go
+++ b/load/judge.go
@@ -8,10 +8,10 @@
 	"github.com/embercove/embercove/result"
 )
 
-// Judge compares what callers saw with the stand-ins' records and describes each
+// Verify compares what callers saw with the stand-ins' records and describes each
 // violated guarantee. broken reports whether an arrival's connection may have
 // broken without a result code, because its host was killed.
-func Judge(results []Result, records []fake.Record, broken func(Arrival) bool) []string {
+func Verify(results []Result, records []fake.Record, broken func(Arrival) bool) []string {
 	var out []string
 	addViolation := func(r Result, format string, args ...any) {
 		out = append(out, fmt.Sprintf("%s at %s (%s): ", r.Kind, r.At, r.Code)+fmt.Sprintf(format, args...))
@@ -32,7 +32,7 @@
 		if r.NotRun && ranBeforeRefusal(r, records, hash) {
 			addViolation(r, "refused as not run, but it ran %d prefills and %d decodes", prefills[hash], decodes[hash])
 		}
-		if r.Once && (prefills[hash] > 1 || decodes[hash] > 1) {
+		if r.NotRepeatable && (prefills[hash] > 1 || decodes[hash] > 1) {
 			addViolation(r, "not repeatable, but it ran %d prefills and %d decodes", prefills[hash], decodes[hash])
 		}
 	}
--- a/load/mix.go
+++ b/load/mix.go
@@ -13,13 +13,13 @@
 
 // Kind is a class of requests in a mix.
 type Kind struct {
-	Name      string
-	Share     float64
-	Team      []string
-	Least     int     // prompt tokens, at least
-	Most      int     // prompt tokens, at most
-	MaxTokens int     // of the answer
-	Shared    float64 // share of prompts that start with a shared document
+	Name            string
+	Share           float64
+	Teams           []string
+	MinPromptTokens int     // prompt tokens, at least
+	MaxPromptTokens int     // prompt tokens, at most
+	MaxTokens       int     // of the answer
+	Shared          float64 // share of prompts that start with a shared document
 }
 
 // Mix is the workload of a deployment.
@@ -46,16 +46,16 @@
 
 // Arrival is one request of the load.
 type Arrival struct {
-	At        time.Duration // since the start of the load
-	Kind      string
-	Team      string
-	Prompt    string
-	MaxTokens int
-	Leaves    time.Duration // the caller disconnects this long after sending; 0: never
-	Once      bool          // the request may not be repeated
-	Key       string        // idempotency key; may be empty
-	KeyAge    time.Duration // time since the key was first sent
-	Host      int           // entry host the load balancer picks, modulo the number of hosts
+	At            time.Duration // since the start of the load
+	Kind          string
+	Team          string
+	Prompt        string
+	MaxTokens     int
+	LeaveAfter    time.Duration // the caller disconnects this long after sending; 0: never
+	NotRepeatable bool          // the request may not be repeated
+	Key           string        // idempotency key; may be empty
+	KeyAge        time.Duration // time since the key was first sent
+	Host          int           // entry host the load balancer picks, modulo the number of hosts
 }
 
 // tokenBytes is the number of bytes per token of a prompt.
@@ -83,14 +83,14 @@
 func (m Mix) maxPromptTokens() int {
 	n := 0
 	for _, k := range m.Kinds {
-		n = max(n, k.Most)
+		n = max(n, k.MaxPromptTokens)
 	}
 	return n
 }
 
 func (m Mix) arrival(r *rand.Rand, docs []string, at time.Duration, n int, leaving float64) Arrival {
 	k := m.kind(r.Float64())
-	tokens := k.Least + r.IntN(k.Most-k.Least+1)
+	tokens := k.MinPromptTokens + r.IntN(k.MaxPromptTokens-k.MinPromptTokens+1)
 	shared := r.Float64() < k.Shared
 	// The popularity of the shared documents follows a power law.
 	doc := docs[int(float64(len(docs))*r.Float64()*r.Float64()*r.Float64())]
@@ -100,10 +100,10 @@
 	if !shared {
 		prompt = question + body
 	}
-	a := Arrival{At: at, Kind: k.Name, Team: k.Team[r.IntN(len(k.Team))], Prompt: prompt, MaxTokens: k.MaxTokens, Host: r.IntN(1 << 20)}
+	a := Arrival{At: at, Kind: k.Name, Team: k.Teams[r.IntN(len(k.Teams))], Prompt: prompt, MaxTokens: k.MaxTokens, Host: r.IntN(1 << 20)}
 	leaveAfter := time.Duration((0.02 + 0.5*r.Float64()) * float64(time.Second))
 	if r.Float64() < leaving {
-		a.Leaves = leaveAfter
+		a.LeaveAfter = leaveAfter
 	}
 	return a
 }
--- a/load/report.go
+++ b/load/report.go
@@ -48,8 +48,8 @@
 	AttemptsPerRequest float64 `json:"attempts_per_request"` // prefill runs per request that ran
 }
 
-// Sum returns the report of a run.
-func Sum(name string, results []Result, records []fake.Record, targets config.Targets, span time.Duration) Report {
+// Summarize returns the report of a run.
+func Summarize(name string, results []Result, records []fake.Record, targets config.Targets, span time.Duration) Report {
 	rep := Report{Name: name, Offered: len(results), Codes: map[string]int{}, Kinds: map[string]KindReport{}}
 	ttft, tpot := newHistogram(), newHistogram()
 	for _, r := range results {
--- a/load/run.go
+++ b/load/run.go
@@ -69,7 +69,7 @@
 	}
 	results := s.Send(ctx, arrivals)
 	time.Sleep(settleTime)
-	report := Sum(string(r.Mode), results, c.Truth(), c.Doc.Targets, r.Span)
+	report := Summarize(string(r.Mode), results, c.Records(), c.Doc.Targets, r.Span)
 	report.Bound = Bound(c.Doc, arrivals, r.Span)
 	return report, results, nil
 }
--- a/load/send.go
+++ b/load/send.go
@@ -87,8 +87,8 @@
 func (s *Sender) sendOne(ctx context.Context, hc *http.Client, a Arrival) Result {
 	res := Result{Arrival: a}
 	limit := callTimeout
-	if a.Leaves > 0 {
-		limit = a.Leaves
+	if a.LeaveAfter > 0 {
+		limit = a.LeaveAfter
 	}
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
@@ -96,7 +96,7 @@
 	s.call(ctx, hc, a, start, &res)
 	res.Ended = time.Now()
 	res.Duration = res.Ended.Sub(start)
-	res.Left = a.Leaves > 0 && !res.CleanEnd && res.Code == 0
+	res.Left = a.LeaveAfter > 0 && !res.CleanEnd && res.Code == 0
 	return res
 }
 
@@ -110,7 +110,7 @@
 	}
 	q.Header.Set("Content-Type", "application/json")
 	q.Header.Set(entry.HeaderTeam, a.Team)
-	if a.Once {
+	if a.NotRepeatable {
 		q.Header.Set(entry.HeaderRepeatable, "false")
 	}
 	if a.Key != "" {
--- a/proof/config_test.go
+++ b/proof/config_test.go
@@ -131,7 +131,7 @@
 }
 
 func documentJSON(s *harness, f func(d *config.Document)) []byte {
-	src, err := s.JSON(f)
+	src, err := s.DocumentJSON(f)
 	if err != nil {
 		s.fail(err.Error())
 	}
@@ -147,7 +147,7 @@
 		s.expectInForce(s.publish(func(d *config.Document) { d.Models[0].Version = "v5" }))
 		s.expectVersions("v5")
 		late := s.Runners["docket-decode-2"] // checks no fences
-		late.SetFaults(fake.Faults{WrongState: "v4"})
+		late.SetFaults(fake.Faults{WrongVersion: "v4"})
 		time.Sleep(time.Second)
 		late.SetFaults(fake.Faults{})
 		s.expectVersions("v5")
--- a/proof/keys_test.go
+++ b/proof/keys_test.go
@@ -18,7 +18,7 @@
 	var out []load.Arrival
 	for i, a := range as {
 		a.Key = fmt.Sprintf("k%d", i)
-		a.Leaves = 0
+		a.LeaveAfter = 0
 		b := a
 		b.At += time.Duration(r.IntN(4000)) * time.Millisecond
 		b.Host++
@@ -98,7 +98,7 @@
 	p := runScenario(t, options{seed: 450, rate: 5, span: 3 * time.Second, edit: func(as *[]load.Arrival) {
 		for i := range *as {
 			a := &(*as)[i]
-			a.Key, a.KeyAge, a.Leaves = fmt.Sprintf("old%d", i), time.Hour, 0
+			a.Key, a.KeyAge, a.LeaveAfter = fmt.Sprintf("old%d", i), time.Hour, 0
 		}
 	}}, func(*harness) {})
 	for _, b := range p.violations {
--- a/proof/leaving_test.go
+++ b/proof/leaving_test.go
@@ -78,9 +78,9 @@
 // recordsOf returns what an endpoint itself recorded of its calls.
 func (s *harness) recordsOf(name string) []fake.Record {
 	if r := s.Runners[name]; r != nil {
-		return r.Truth()
+		return r.Records()
 	}
-	return s.Apps[name].Truth()
+	return s.Apps[name].Records()
 }
 
 // TestRollingRestart drains and restarts the hosts one after the other under load.
--- a/proof/policy_test.go
+++ b/proof/policy_test.go
@@ -50,10 +50,10 @@
 		endpoints []string
 		faults    fake.Faults
 	}{
-		{"a third breaks", third, fake.Faults{RefuseUnvouch: 1 << 20}},
+		{"a third breaks", third, fake.Faults{RefuseUnconfirmed: 1 << 20}},
 		{"a third hangs up", third, fake.Faults{CutBefore: 1 << 20}},
 		{"a third refuses", third, fake.Faults{RefuseShare: 1}},
-		{"all break", all, fake.Faults{RefuseUnvouch: 1 << 20}},
+		{"all break", all, fake.Faults{RefuseUnconfirmed: 1 << 20}},
 		{"all refuse", all, fake.Faults{RefuseShare: 1}},
 	}
 	for _, tc := range cases {
@@ -61,7 +61,7 @@
 			var sum report.Totals
 			p := runScenario(t, options{seed: 500, span: 12 * time.Second, edit: func(as *[]load.Arrival) {
 				for i := range *as {
-					(*as)[i].Once = false
+					(*as)[i].NotRepeatable = false
 				}
 			}}, func(s *harness) {
 				for _, n := range tc.endpoints {
--- a/proof/regions_test.go
+++ b/proof/regions_test.go
@@ -84,12 +84,12 @@
 // regionLoad returns arrivals at the hosts of each region; factors are multiples of regionRate.
 func regionLoad(seed uint64, span time.Duration, factors [regionCount]float64) (out []load.Arrival) {
 	mix := load.Mixes["domaskra"]
-	mix.Kinds = []load.Kind{{Name: "question", Share: 1, Team: []string{"press", "public"}, Least: 1000, Most: 6000, MaxTokens: 40}}
+	mix.Kinds = []load.Kind{{Name: "question", Share: 1, Teams: []string{"press", "public"}, MinPromptTokens: 1000, MaxPromptTokens: 6000, MaxTokens: 40}}
 	for region, x := range factors {
 		as := mix.Arrivals(seed+uint64(region), x*regionRate, span, 0)
 		for i := range as {
 			as[i].Host = region + regionCount*(as[i].Host%(regionHosts/regionCount))
-			as[i].Once = i%2 == 0
+			as[i].NotRepeatable = i%2 == 0
 		}
 		out = append(out, as...)
 	}
--- a/proof/scale_test.go
+++ b/proof/scale_test.go
@@ -108,7 +108,7 @@
 	}
 	const span = 5 * time.Second
 	mix := load.Mixes["domaskra"]
-	mix.Kinds = []load.Kind{{Name: "question", Share: 1, Team: []string{"press", "public"}, Least: 500, Most: 3500, MaxTokens: 40}}
+	mix.Kinds = []load.Kind{{Name: "question", Share: 1, Teams: []string{"press", "public"}, MinPromptTokens: 500, MaxPromptTokens: 3500, MaxTokens: 40}}
 	before, _, calls := s.controlTraffic()
 	start := time.Now()
 	rs := s.send(mix.Arrivals(1, *fleetRate*float64(*fleetHosts), span, 0))
--- a/proof/scene_test.go
+++ b/proof/scene_test.go
@@ -133,9 +133,9 @@
 	as := load.Mixes["domaskra"].Arrivals(seed, rate, span, 0)
 	r := rand.New(rand.NewPCG(seed, 2))
 	for i := range as {
-		as[i].Once = i%3 == 0
+		as[i].NotRepeatable = i%3 == 0
 		if r.IntN(6) == 0 {
-			as[i].Leaves = time.Duration(1+r.IntN(3000)) * time.Millisecond
+			as[i].LeaveAfter = time.Duration(1+r.IntN(3000)) * time.Millisecond
 		}
 	}
 	return as
@@ -167,7 +167,7 @@
 // checkPromises records the promises to callers that were broken and, after settleTime at the latest,
 // memory or requests that are still held. It is called once the load is over.
 func (s *harness) checkPromises() {
-	for _, b := range load.Judge(s.results, s.Truth(), func(a load.Arrival) bool { return s.stopped[s.hostOf(a)] }) {
+	for _, b := range load.Verify(s.results, s.Records(), func(a load.Arrival) bool { return s.stopped[s.hostOf(a)] }) {
 		s.fail(b)
 	}
 	deadline := time.Now().Add(settleTime)
--- a/publish/client_test.go
+++ b/publish/client_test.go
@@ -19,13 +19,13 @@
 	const rate = 50_000 // bytes per second: 20 s for the document
 	synctest.Test(t, func(t *testing.T) {
 		net := fake.NewNetwork()
-		net.SetRate("10.0.0.1", rate)
+		net.SetLinkRate("10.0.0.1", rate)
 		text := strings.Repeat("x", 1_000_000)
 		srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			json.NewEncoder(w).Encode(publish.Revision{Revision: 7, Document: text})
 		})}
 		go srv.Serve(net.Listen("platform", "10.9.0.1:80"))
-		c := publish.NewClient("10.9.0.1:80", net.DialerOf("a", "10.0.0.1"))
+		c := publish.NewClient("10.9.0.1:80", net.HostDialer("a", "10.0.0.1"))
 		began := time.Now()
 		r, err := c.Config(context.Background(), 3, time.Second)
 		if err != nil || r == nil || r.Revision != 7 || r.Document != text {
--- a/tool/run.go
+++ b/tool/run.go
@@ -108,7 +108,7 @@
 	mix := load.Mixes[*deployment]
 	s := load.Sender{Addresses: strings.Split(*callers, ","), Model: mix.Model, Progress: t.printProgress}
 	rs := s.Send(context.Background(), mix.Arrivals(*seed, *factor*mix.Capacity(d).Rate, *span, *leaving))
-	return t.printReport(load.Sum("load on "+*callers, rs, nil, d.Targets, *span), *asJSON)
+	return t.printReport(load.Summarize("load on "+*callers, rs, nil, d.Targets, *span), *asJSON)
 }
 
 // logFile returns a logger that writes JSON lines to a file, or nil if path is empty.
--- a/trial/cluster.go
+++ b/trial/cluster.go
@@ -106,15 +106,15 @@
 
 // Publish publishes the document, changed by f, and returns its revision.
 func (c *Cluster) Publish(f func(d *config.Document)) (uint64, error) {
-	src, err := c.JSON(f)
+	src, err := c.DocumentJSON(f)
 	if err != nil {
 		return 0, err
 	}
 	return c.Platform.Publish(src), nil
 }
 
-// JSON returns the document, changed by f, without publishing it.
-func (c *Cluster) JSON(f func(d *config.Document)) ([]byte, error) {
+// DocumentJSON returns the document, changed by f, without publishing it.
+func (c *Cluster) DocumentJSON(f func(d *config.Document)) ([]byte, error) {
 	if f != nil {
 		f(c.Doc)
 	}
--- a/trial/endpoints.go
+++ b/trial/endpoints.go
@@ -17,7 +17,7 @@
 	var h http.Handler
 	var setFaults func(fake.Faults)
 	if e.Role == config.Service {
-		app := &fake.App{Name: e.Name, Takes: serviceLatency}
+		app := &fake.App{Name: e.Name, Latency: serviceLatency}
 		c.Apps[e.Name] = app
 		h, setFaults = app, app.SetFaults
 	}
@@ -70,14 +70,14 @@
 	return e.Version
 }
 
-// Truth returns the records of all stand-ins.
-func (c *Cluster) Truth() []fake.Record {
+// Records returns the records of all stand-ins.
+func (c *Cluster) Records() []fake.Record {
 	var out []fake.Record
 	for _, r := range c.Runners {
-		out = append(out, r.Truth()...)
+		out = append(out, r.Records()...)
 	}
 	for _, a := range c.Apps {
-		out = append(out, a.Truth()...)
+		out = append(out, a.Records()...)
 	}
 	return out
 }
