--- a/owner/balance_test.go
+++ b/owner/balance_test.go
@@ -52,28 +52,28 @@
 func TestBalanceOrders(t *testing.T) {
 	refused := &endpoint.CallError{Status: 412, Cause: errors.New("fence")}
 	cases := []struct {
-		name       string
-		settled    time.Duration // since the members changed
-		leaving    bool
-		doubted    bool   // a host becomes unconfirmed between the two checks of the members
-		come       int    // hosts that join between the checks
-		into       string // their domain
-		gap        bool   // no checks in between
-		silent     bool   // the platform has not answered
-		seeds      int    // in the settings
-		gone       int    // of four of the five other hosts
-		heardFence uint64
-		err        error
-		orders     int
+		name        string
+		settled     time.Duration // since the members changed
+		unconfirmed bool
+		doubted     bool   // a host becomes unconfirmed between the two checks of the members
+		joining     int    // hosts that join between the checks
+		joinDomain  string // their domain
+		gap         bool   // no checks in between
+		silent      bool   // the platform has not answered
+		seeds       int    // in the settings
+		gone        int    // of four of the five other hosts
+		heardFence  uint64
+		err         error
+		orders      int
 	}{
 		{name: "settled", settled: settledAfter, orders: 1},
 		{name: "members have just changed", settled: settledAfter / 2},
-		{name: "a host joined another domain, long after the last change", settled: minTenure, come: 1, into: "e", orders: 1},
-		{name: "a host joined another domain, soon after the last change", settled: settledAfter, come: 1, into: "e"},
-		{name: "hosts joined, one of which orders this runner", settled: minTenure, come: 200, into: "d"},
-		{name: "no checks for a while", settled: 2 * minTenure, gap: true, come: 1, into: "e"},
+		{name: "a host joined another domain, long after the last change", settled: minTenure, joining: 1, joinDomain: "e", orders: 1},
+		{name: "a host joined another domain, soon after the last change", settled: settledAfter, joining: 1, joinDomain: "e"},
+		{name: "hosts joined, one of which orders this runner", settled: minTenure, joining: 200, joinDomain: "d"},
+		{name: "no checks for a while", settled: 2 * minTenure, gap: true, joining: 1, joinDomain: "e"},
 		{name: "a host becomes unconfirmed", settled: settledAfter, doubted: true, orders: 1},
-		{name: "leaving", settled: settledAfter, leaving: true},
+		{name: "leaving", settled: settledAfter, unconfirmed: true},
 		{name: "four of six hosts are left", settled: settledAfter, gone: 2, orders: 1},
 		{name: "half of the hosts are unreachable", settled: settledAfter, gone: 3},
 		{name: "most hosts are unreachable", settled: settledAfter, gone: 4},
@@ -102,7 +102,7 @@
 			if !tc.silent {
 				o.board.Config.RecordPlatformAnswer(now)
 			}
-			if tc.leaving {
+			if tc.unconfirmed {
 				o.board.SetLeaving()
 			}
 			o.ObserveFence(tc.heardFence)
@@ -116,8 +116,8 @@
 			if tc.doubted {
 				o.board.Hosts.MarkUnconfirmed(1)
 			}
-			for i := range tc.come {
-				h := blackboard.Host{Name: fmt.Sprint("new", i), Number: uint32(100 + i), Domain: tc.into, Region: "r", Incarnation: 1, Heartbeat: 1}
+			for i := range tc.joining {
+				h := blackboard.Host{Name: fmt.Sprint("new", i), Number: uint32(100 + i), Domain: tc.joinDomain, Region: "r", Incarnation: 1, Heartbeat: 1}
 				o.board.Hosts.Learn(h, now)
 			}
 			if o.canOrder(v, now) && canOrderNow(o, v.Endpoint("r00"), now) {
--- a/owner/book.go
+++ b/owner/book.go
@@ -36,12 +36,12 @@
 	roleChangeUntil   time.Time // end of the time in which an ordered role change is pending
 	lastOrder         time.Time // time of the last order
 
-	failureShare float64 // share of recent attempts that failed, as of failureShareAt
-	feedTrust    float64 // share of the cached tokens promised by the feed that the engine had
-	cachedHeads  map[uint32]uint32
-	feedNext     uint64    // next sequence number of the cache feed
-	feedEpoch    uint64    // of the feed; sequence numbers of another epoch are unrelated
-	feedReadAt   time.Time // when the feed was last read
+	failureShare float64           // share of recent attempts that failed, as of failureShareAt
+	feedTrust    float64           // share of the cached tokens promised by the feed that the engine had
+	cachedHeads  map[uint32]uint32 // cached tokens by hash of the prompt's head
+	feedNext     uint64            // next sequence number of the cache feed
+	feedEpoch    uint64            // of the feed; sequence numbers of another epoch are unrelated
+	feedReadAt   time.Time         // when the feed was last read
 
 	failureShareAt time.Time
 	leavingShare   float64 // share of callers that left before their prefill ended
@@ -247,11 +247,11 @@
 	if hold := s.prefillNotBefore(now, it); hold.After(it.NotBefore) {
 		it.NotBefore = hold
 	}
-	pushed, refusal := s.queue.Admit(now, it)
+	displaced, refusal := s.queue.Admit(now, it)
 	if refusal != nil {
 		return nil, refusal
 	}
-	for _, p := range pushed {
+	for _, p := range displaced {
 		p.Result <- result.Errorf(result.TooLate, "displaced by requests of higher priority or of teams with less use").After(work + queue.Lookahead)
 	}
 	return it, nil
--- a/owner/handover_test.go
+++ b/owner/handover_test.go
@@ -97,8 +97,8 @@
 			}
 			if tc.pushed {
 				before.sendHandover(context.Background(), blackboard.Host{}, old, at(0))
-			} else if told := after.inherit(context.Background(), fresh); told != tc.known {
-				t.Errorf("inherited %v, want %v", told, tc.known)
+			} else if inherited := after.inherit(context.Background(), fresh); inherited != tc.known {
+				t.Errorf("inherited %v, want %v", inherited, tc.known)
 			}
 			if n := fresh.ledger.Len(); n != tc.rows {
 				t.Errorf("%d rows, want %d", n, tc.rows)
--- a/owner/helpers_test.go
+++ b/owner/helpers_test.go
@@ -13,6 +13,6 @@
 func attempt(n int) request.Attempt { return request.Attempt{Number: uint32(n)} }
 
 // growingArgs requests memory at an engine that allocates it while it decodes.
-func growingArgs(n, prompt, guess, slack int) ReserveArgs {
-	return ReserveArgs{Attempt: attempt(n), Tokens: prompt, MaxAnswer: 10_880, Slack: slack, Team: 1, Expected: guess}
+func growingArgs(n, prompt, expected, slack int) ReserveArgs {
+	return ReserveArgs{Attempt: attempt(n), Tokens: prompt, MaxAnswer: 10_880, Slack: slack, Team: 1, Expected: expected}
 }
--- a/owner/messages.go
+++ b/owner/messages.go
@@ -48,7 +48,7 @@
 	Tokens   int // of the prompt
 	Head     uint32
 	HasHead  bool
-	Slack    int  // ms by which the prefill must have ended
+	Slack    int  // ms within which the prefill must end
 	Expect   int  // ms that the wait is expected to take; 0: unknown
 	NotYet   int  // ms before which the prefill should not end
 	Abroad   bool // for a cross-region request
@@ -112,9 +112,9 @@
 	MaxAnswer int
 	Expected  int
 	Mark      uint64
-	Start     int // ms from now; negative: past
-	Moved     int
-	Lease     int
+	Start     int  // ms from now; negative: past
+	Moved     int  // the end of the transfer, likewise
+	Lease     int  // the end of the lease, likewise
 	Seen      bool // the endpoint's list has contained it
 }
 
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -38,9 +38,9 @@
 	Inherit(ctx context.Context, host blackboard.Host, endpoint uint32) (Handover, error)
 	// Vote asks a host for its votes for the endpoints that need start permits.
 	Vote(ctx context.Context, host blackboard.Host, a VoteArgs) (VoteReply, error)
-	// Heard records the limit that an endpoint named in a response to this host.
+	// ReceiveLimit records the limit that an endpoint named in a response to this host.
 	ReceiveLimit(spec *config.Endpoint, w pace.Report)
-	// LimitTold records an endpoint's limit as reported by another host.
+	// ReceivePeerLimit records an endpoint's limit as reported by another host.
 	ReceivePeerLimit(spec *config.Endpoint, t pace.WireReport)
 }
 
@@ -66,7 +66,7 @@
 	Orders    atomic.Uint64 // orders sent
 	Takeovers atomic.Uint64 // endpoints taken over
 	Polls     atomic.Uint64 // control calls to endpoints
-	// TurnedAway counts requests refused because their endpoint's failure domain is evacuated.
+	// EvacuationRefusals counts requests refused because their endpoint's failure domain is evacuated.
 	EvacuationRefusals atomic.Uint64
 }
 
@@ -179,9 +179,10 @@
 	return d
 }
 
-// takeOver loads the state of an endpoint: the previous owner's reservations, or else
-// the endpoint's own list. If both fail the scheduler starts empty, and refusals by the
-// engine correct it.
+// takeOver loads the state of an endpoint. If its engine allocates memory while it decodes,
+// that is the previous owner's reservations, which the engine's list doesn't show. Otherwise,
+// or if the previous owner knows nothing, it is the endpoint's own list. If that fails too the
+// scheduler starts empty, and refusals by the engine correct it.
 func (o *Owner) takeOver(ctx context.Context, sched *Scheduler) {
 	ctx, cancel := context.WithTimeout(ctx, takeoverTimeout)
 	defer cancel()
--- a/owner/reap.go
+++ b/owner/reap.go
@@ -19,24 +19,24 @@
 // the lock.
 func (s *Scheduler) unclaimed(now time.Time, list []endpoint.Running) []request.Attempt {
 	var out []request.Attempt
-	there := make(map[request.Attempt]bool, len(list))
+	listed := make(map[request.Attempt]bool, len(list))
 	for _, r := range list {
 		a, err := request.ParseAttempt(r.ID)
 		if err != nil {
 			continue
 		}
-		there[a] = true
+		listed[a] = true
 		if now.Sub(s.claimedAt[a]) > claimValidFor {
 			out = append(out, a)
 		}
 	}
 	for a := range s.claimedAt {
-		if !there[a] {
+		if !listed[a] {
 			delete(s.claimedAt, a)
 		}
 	}
 	for a := range s.holderGoneSince {
-		if !there[a] {
+		if !listed[a] {
 			delete(s.holderGoneSince, a)
 		}
 	}
--- a/owner/restart_test.go
+++ b/owner/restart_test.go
@@ -24,7 +24,7 @@
 
 func (e *reportEngine) Traits() endpoint.Traits { return endpoint.Traits{} }
 
-// TestRestart restarts an engine under its name. The owner learns of it from the registration or
+// TestRestart restarts an engine under its name. The owner learns this from the registration or
 // from a state report, whichever comes first, and must drop what the previous process held.
 // Reservations that have not arrived at the engine stay.
 func TestRestart(t *testing.T) {
--- a/owner/starts.go
+++ b/owner/starts.go
@@ -49,11 +49,13 @@
 // VoteReply holds the votes, in the order of VoteArgs.Endpoints.
 type VoteReply struct {
 	Given []bool
-	Of    []int // number of hosts that may vote, as far as the voter knows
+	Of    []int // number of hosts that may vote, by the voter's view of the members
 }
 
 // Permits hands out start permits for the endpoints that this host owns and that need them.
 type Permits struct {
+	// Counters for metrics: permits granted and requests refused as the owner, and permits that
+	// this host gave itself while an owner was unreachable.
 	Given, Refused, Isolated atomic.Uint64
 
 	board *blackboard.Board
@@ -151,7 +153,7 @@
 	return pace.LimitParams(b.perSecond, share)
 }
 
-// Acquire handles a StartArgs from this or another host.
+// Acquire handles a PermitArgs from this or another host.
 func (s *Permits) Acquire(a PermitArgs) (PermitReply, error) {
 	s.board.Pause.Check()
 	v, spec, err := s.spec(a.Endpoint)
--- a/owner/starts_test.go
+++ b/owner/starts_test.go
@@ -38,9 +38,9 @@
 	return o
 }
 
-// TestStartsWake checks that a host without others hands out no permits right after its start or
-// after a pause, because votes that it gave before may still bind. It does so again once they
-// have expired.
+// TestStartsWake checks that the only host of a fleet hands out no permits right after its start
+// or after a pause, because votes that it gave before may still bind. It hands them out once those
+// votes have expired.
 func TestStartsWake(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := coldOwner(t)
@@ -75,7 +75,7 @@
 }
 
 // TestFirstAsks requests several permits at an endpoint that has just turned cold, while its first
-// votes are under way. All requests must be told to ask again after firstRoundDelay: one that gets
+// votes are under way. All requests must get the retry delay firstRoundDelay: one that gets
 // maxRetryDelay instead avoids the endpoint for that long.
 func TestFirstAsks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -102,7 +102,7 @@
 	})
 }
 
-// slowPeers answer after 20 ms.
+// slowPeers answers after 20 ms.
 type slowPeers struct{ pairPeers }
 
 func (p slowPeers) Vote(ctx context.Context, h blackboard.Host, a VoteArgs) (VoteReply, error) {
