--- a/blackboard/cold_test.go
+++ b/blackboard/cold_test.go
@@ -27,7 +27,7 @@
 	for i, tc := range []struct {
 		at, left int // ms
 		until    int // ms by the first host's clock
-		told     bool
+		sent     bool
 	}{
 		{0, 3000, 3000, true},
 		{1200, 1800, 3000, false},    // the next heartbeat says the same
@@ -44,17 +44,17 @@
 		}
 		later := at.Add(100 * time.Millisecond)
 		list, change := one.RosterSince(other.RosterRevision(), later)
-		told := list != nil
+		sent := list != nil
 		var full *config.Roster
 		if list != nil {
 			full = list.Roster()
 		}
 		if change != nil {
-			told = len(change.Changed) > 0
+			sent = len(change.Changed) > 0
 			full = other.ApplyChange(change)
 		}
-		if told != tc.told {
-			t.Errorf("at %d ms: sent %v, want %v", tc.at, told, tc.told)
+		if sent != tc.sent {
+			t.Errorf("at %d ms: sent %v, want %v", tc.at, sent, tc.sent)
 		}
 		if _, err := other.OfferRoster(full, later.Add(ahead)); err != nil {
 			t.Fatal(err)
@@ -95,7 +95,7 @@
 			if _, err := b.Config.Offer(1, []byte(coldDocument)); err != nil {
 				t.Fatal(err)
 			}
-			fit := func(revision config.Position) {
+			apply := func(revision config.Position) {
 				if _, err := b.Config.OfferRoster((&config.RosterList{Revision: revision, Endpoints: []config.Endpoint{coldEndpoint(0)}}).Roster(), time.Now()); err != nil {
 					t.Fatal(err)
 				}
@@ -105,14 +105,14 @@
 				b.Endpoints.Find(route.Number("e"), func(_ *config.View, s *route.State) { is = s.IsCold(time.Now().Add(in)) })
 				return is
 			}
-			fit(1)
+			apply(1)
 			if cold(0) {
 				t.Error("cold before anything happened")
 			}
 			tc.leave(b)
 			tc.back(b)
-			fit(2)
-			fit(3)
+			apply(2)
+			apply(3)
 			if !cold(0) || cold(3100*time.Millisecond) {
 				t.Errorf("cold now %v, in 3.1 s %v", cold(0), cold(3100*time.Millisecond))
 			}
--- a/blackboard/domains_test.go
+++ b/blackboard/domains_test.go
@@ -11,10 +11,10 @@
 	const a, b = 1, 2 // hosts or endpoints
 	second := func(s float64) time.Time { return start.Add(time.Duration(s * float64(time.Second))) }
 	cases := []struct {
-		name string
-		play func(d *DomainTable)
-		at   float64
-		want bool
+		name  string
+		apply func(d *DomainTable)
+		at    float64
+		want  bool
 	}{
 		{"no calls", func(*DomainTable) {}, 0, false},
 		{"one is silent repeatedly", func(d *DomainTable) { d.RecordMiss("x", a, second(0)); d.RecordMiss("x", a, second(0.5)) }, 0.6, false},
@@ -42,7 +42,7 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			d := newDomainTable("self")
-			tc.play(d)
+			tc.apply(d)
 			if lost := len(d.Lost()) > 0; tc.want && !lost {
 				t.Error("a domain that is cut off is not listed as lost")
 			}
--- a/blackboard/endpoints.go
+++ b/blackboard/endpoints.go
@@ -112,24 +112,24 @@
 
 // Digests returns the selected digests with their age. It scans only the endpoints of the
 // failure domain, and allocates nothing for digests that aren't drawn.
-func (t *EndpointTable) Digests(now time.Time, w DigestQuery) []route.Digest {
+func (t *EndpointTable) Digests(now time.Time, query DigestQuery) []route.Digest {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	states := t.fleet.All()
-	if w.Domain != "" {
-		states = t.fleet.InFailureDomain(w.Domain)
+	if query.Domain != "" {
+		states = t.fleet.InFailureDomain(query.Domain)
 	}
 	var drawn []*route.State
 	seen := 0
 	for s := range states {
 		age := now.Sub(s.DigestAt)
-		if s.DigestAt.IsZero() || age > w.MaxAge || !w.Want(s.Number, uint32(age.Milliseconds())) {
+		if s.DigestAt.IsZero() || age > query.MaxAge || !query.Want(s.Number, uint32(age.Milliseconds())) {
 			continue
 		}
 		seen++
-		if len(drawn) < w.Max {
+		if len(drawn) < query.Max {
 			drawn = append(drawn, s)
-		} else if i := rand.IntN(seen); i < w.Max {
+		} else if i := rand.IntN(seen); i < query.Max {
 			drawn[i] = s
 		}
 	}
--- a/blackboard/evacuations_test.go
+++ b/blackboard/evacuations_test.go
@@ -61,15 +61,15 @@
 // of the configuration and the roster change.
 func TestEvacuationKept(t *testing.T) {
 	now := time.Now()
-	lapsed := evacuatedRoster(6, 6, "d")
-	lapsed.Endpoints[3].Lapsed = now
+	expired := evacuatedRoster(6, 6, "d")
+	expired.Endpoints[3].Lapsed = now
 	cases := []struct {
 		name string
 		f    func(t *ConfigTable)
 	}{
 		{"nothing", func(*ConfigTable) {}},
 		{"a registration expires and is dropped", func(t *ConfigTable) {
-			t.OfferRoster(lapsed.Roster(), now)
+			t.OfferRoster(expired.Roster(), now)
 			t.DropExpired(now.Add(config.ExpiryGrace + time.Second))
 		}},
 		{"a new document", func(t *ConfigTable) { t.Offer(2, []byte(twoDomains)) }},
--- a/blackboard/heard.go
+++ b/blackboard/heard.go
@@ -4,7 +4,8 @@
 	"time"
 )
 
-// RecordPlatformAnswer records that the state of this host matches an answer that the platform gave at a time.
+// RecordPlatformAnswer records that the state of this host matches an answer that the platform
+// gave at a time.
 func (t *ConfigTable) RecordPlatformAnswer(at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -25,8 +26,8 @@
 	}
 }
 
-// RecordReportedAnswer records that another host with the same state reported an answer that the platform gave
-// at a time, to that host or to one from which it received the report.
+// RecordReportedAnswer records that another host with the same state reported an answer that the
+// platform gave at a time, to that host or to one from which it received the report.
 func (t *ConfigTable) RecordReportedAnswer(at time.Time) {
 	t.RecordPlatformAnswer(at)
 	t.mu.Lock()
--- a/blackboard/hosts.go
+++ b/blackboard/hosts.go
@@ -19,7 +19,7 @@
 	Incarnation uint64
 	Heartbeat   uint64 // number of heartbeats of this incarnation
 	Leaving     bool
-	HeartbeatAt time.Time // when Beat last rose, by this host's clock
+	HeartbeatAt time.Time // when Heartbeat last rose, by this host's clock
 	SuspectedAt time.Time // when a watcher reported it as gone; zero: none has
 	Unconfirmed bool      // a call to it failed and no heartbeat arrived since
 	ChangedAt   time.Time // when its incarnation, or that it is leaving, first became known
@@ -37,8 +37,8 @@
 	hosts map[uint32]*Host
 }
 
-func newHostTable(self Host, suspect, beat time.Duration) *HostTable {
-	t := &HostTable{minSuspect: suspect, suspect: suspect, round: beat, self: self, hosts: map[uint32]*Host{}}
+func newHostTable(self Host, suspect, heartbeatInterval time.Duration) *HostTable {
+	t := &HostTable{minSuspect: suspect, suspect: suspect, round: heartbeatInterval, self: self, hosts: map[uint32]*Host{}}
 	t.hosts[self.Number] = &t.self
 	return t
 }
@@ -158,24 +158,24 @@
 	return h.Number == t.self.Number || h.SuspectedAt.IsZero() && now.Sub(h.HeartbeatAt) <= t.silenceLimit()
 }
 
-// Suspect records that a watcher could not reach a host whose last known heartbeat is beat. A
+// Suspect records that a watcher could not reach a host whose last known heartbeat is heartbeat. A
 // later heartbeat clears the host again; earlier ones that still arrive by way of other hosts
 // don't. It reports whether the host was not suspected before. If this host itself is
-// suspected, its heartbeat jumps past beat, which clears it at the other hosts.
-func (t *HostTable) Suspect(number uint32, incarnation, beat uint64, now time.Time) bool {
+// suspected, its heartbeat jumps past the given one, which clears it at the other hosts.
+func (t *HostTable) Suspect(number uint32, incarnation, heartbeat uint64, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if number == t.self.Number {
-		if incarnation == t.self.Incarnation && beat >= t.self.Heartbeat {
-			t.self.Heartbeat = beat + 1
+		if incarnation == t.self.Incarnation && heartbeat >= t.self.Heartbeat {
+			t.self.Heartbeat = heartbeat + 1
 		}
 		return false
 	}
 	h := t.hosts[number]
-	if h == nil || h.Incarnation != incarnation || h.Heartbeat > beat || !h.SuspectedAt.IsZero() {
+	if h == nil || h.Incarnation != incarnation || h.Heartbeat > heartbeat || !h.SuspectedAt.IsZero() {
 		return false
 	}
-	h.SuspectedAt, h.Heartbeat = now, beat
+	h.SuspectedAt, h.Heartbeat = now, heartbeat
 	return true
 }
 
--- a/blackboard/hosts_test.go
+++ b/blackboard/hosts_test.go
@@ -28,7 +28,7 @@
 	x := request.HostNumber("x")
 	cases := []struct {
 		name       string
-		play       func(h *HostTable)
+		apply      func(h *HostTable)
 		live, owns bool
 	}{
 		{"heartbeat just now", func(*HostTable) {}, true, true},
@@ -70,7 +70,7 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			h := testHosts("x")
-			tc.play(h)
+			tc.apply(h)
 			at := start
 			if tc.name != "heartbeat just now" && tc.name != "unconfirmed: replaced by another" {
 				at = start.Add(10 * time.Second)
--- a/blackboard/keys.go
+++ b/blackboard/keys.go
@@ -28,8 +28,8 @@
 	At    time.Time
 }
 
-// KeyTable remembers idempotency keys for a limited time. That a key is absent means that it
-// was not used only since the table's tenure began.
+// KeyTable remembers idempotency keys for a limited time. A missing key proves only that it has
+// not been used since the table's tenure began.
 type KeyTable struct {
 	mu    sync.Mutex
 	rows  map[uint64]KeyRecord
--- a/blackboard/regions.go
+++ b/blackboard/regions.go
@@ -119,7 +119,8 @@
 	t.avoidUntil[number] = now.Add(avoidFor)
 }
 
-// Avoided reports whether an owner in a region didn't answer within the last quietFor.
+// Avoided reports whether a region is avoided because an owner there didn't answer within the
+// last avoidFor.
 func (t *RegionTable) Avoided(number uint32, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -134,7 +135,8 @@
 	t.redirected[number]++
 }
 
-// CountNotRedirected counts a request that its region couldn't serve and that was not redirected, by reason.
+// CountNotRedirected counts a request that its region couldn't serve and that was not redirected,
+// by reason.
 func (t *RegionTable) CountNotRedirected(why region.Verdict) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/blackboard/restored_test.go
+++ b/blackboard/restored_test.go
@@ -36,15 +36,15 @@
 		era, revision uint64
 		names         []string
 		born          int64
-		emptied       []string
+		evacuated     []string
 	}
 	const second = time.Second
 	for _, tc := range []struct {
-		name    string
-		steps   []roster
-		after   time.Duration // time of the check, after the last one
-		want    string
-		emptied int
+		name      string
+		steps     []roster
+		after     time.Duration // time of the check, after the last one
+		want      string
+		evacuated int
 	}{
 		{"a lower revision of the same era", []roster{{0, 1, 9, []string{"a"}, 0, nil}, {0, 1, 3, []string{"b"}, 0, nil}}, 0, "a", 0},
 		{"a lower revision of a later era", []roster{{0, 1, 9, []string{"a"}, 0, nil}, {0, 2, 3, []string{"a", "b"}, 0, nil}}, 0, "ab", 0},
@@ -76,7 +76,7 @@
 				for _, name := range s.names {
 					list.Endpoints = append(list.Endpoints, letterEndpoint(name, s.born))
 				}
-				for _, d := range s.emptied {
+				for _, d := range s.evacuated {
 					list.Evacuated = append(list.Evacuated, config.Evacuation{Domain: d, Revision: at})
 				}
 				if _, err := table.OfferRoster(list.Roster(), now); err != nil {
@@ -94,8 +94,8 @@
 					got += name
 				}
 			}
-			if got != tc.want || len(v.Evacuated) != tc.emptied {
-				t.Errorf("%s in force, %d failure domains evacuated; want %s, %d", got, len(v.Evacuated), tc.want, tc.emptied)
+			if got != tc.want || len(v.Evacuated) != tc.evacuated {
+				t.Errorf("%s in force, %d failure domains evacuated; want %s, %d", got, len(v.Evacuated), tc.want, tc.evacuated)
 			}
 		})
 	}
