--- a/config/config_test.go
+++ b/config/config_test.go
@@ -66,7 +66,7 @@
 		t.Errorf("full engines: %g and %g, want Dómaskrá to overbook more", d.FullEngineShare(), p.FullEngineShare())
 	}
 	if d.MaxPrefillDelayShare() != 0 || p.MaxPrefillDelayShare() <= 0 {
-		t.Errorf("patience: %g and %g, want only Paranacor's above 0", d.MaxPrefillDelayShare(), p.MaxPrefillDelayShare())
+		t.Errorf("prefill delay shares: %g and %g, want only Paranacor's above 0", d.MaxPrefillDelayShare(), p.MaxPrefillDelayShare())
 	}
 }
 
--- a/config/evacuation.go
+++ b/config/evacuation.go
@@ -21,6 +21,6 @@
 
 // IsEvacuated reports whether an endpoint's failure domain is evacuated.
 func (v *View) IsEvacuated(e *Endpoint) bool {
-	_, emptied := v.Evacuated[e.Domain]
-	return emptied
+	_, evacuated := v.Evacuated[e.Domain]
+	return evacuated
 }
--- a/config/position.go
+++ b/config/position.go
@@ -49,8 +49,8 @@
 
 // UnmarshalJSON implements json.Unmarshaler. It accepts the output of MarshalJSON and of String.
 func (p *Position) UnmarshalJSON(src []byte) error {
-	era, revision, told := strings.Cut(strings.Trim(string(src), `"`), "/")
-	if !told {
+	era, revision, hasEra := strings.Cut(strings.Trim(string(src), `"`), "/")
+	if !hasEra {
 		era, revision = "0", era
 	}
 	e, err := strconv.ParseUint(era, 10, 64)
--- a/config/team.go
+++ b/config/team.go
@@ -122,6 +122,6 @@
 	c.within(field+".burst", q.Burst, 0, 1e12)
 	c.within(field+".plain_tokens", float64(q.PlainTokens), 0, maxRequestTokens)
 	if q.Rate == 0 && q.Burst > 0 {
-		c.fail(field+".burst", fmt.Sprint(q.Burst), "stands without a rate")
+		c.fail(field+".burst", fmt.Sprint(q.Burst), "needs a rate")
 	}
 }
--- a/config/team_test.go
+++ b/config/team_test.go
@@ -18,7 +18,7 @@
 		{"a typo", `"quota": {"rat": 5}`, "", `did you mean "rate"`},
 		{"a negative rate", `"quota": {"rate": -1}`, "", "teams[0].quota.rate = -1: want 0 to"},
 		{"an unknown unit", `"quota": {"rate": 1, "unit": "words"}`, "", "teams[0].quota.unit"},
-		{"a burst without a rate", `"quota": {"burst": 10}`, "", "teams[0].quota.burst = 10: stands without a rate"},
+		{"a burst without a rate", `"quota": {"burst": 10}`, "", "teams[0].quota.burst = 10: needs a rate"},
 		{"a priority out of range", `"priority": 10`, "", "teams[0].priority = 10: want 0 to 9"},
 	}
 	for _, tc := range cases {
--- a/config/view.go
+++ b/config/view.go
@@ -218,8 +218,8 @@
 	return ""
 }
 
-// FullEngineShare returns the target share of reservations that find the engine still full on arrival.
-// Owners learn the margin that leads to it. It rises with the weight of goodput, which
+// FullEngineShare returns the target share of reservations that find the engine still full on
+// arrival. Owners learn the margin that leads to it. It rises with the weight of goodput, which
 // overbooking increases, and falls with the weight of wasted prefill.
 func (v *View) FullEngineShare() float64 {
 	w := v.Doc.Weights
@@ -231,12 +231,12 @@
 	fullShareRange = 0.10
 )
 
-// MaxPrefillDelayShare returns the share of a request's slack by which its prefill may be delayed while many
-// callers leave early, to save prefill work for them. It is 0 unless wasted prefill weighs more
-// than goodput.
+// MaxPrefillDelayShare returns the share of a request's slack by which its prefill may be delayed
+// while many callers leave early, to save prefill work for them. It is 0 unless wasted prefill
+// weighs more than goodput.
 func (v *View) MaxPrefillDelayShare() float64 {
 	w := v.Doc.Weights
-	return maxPatience * max(0, w.WastedPrefill-w.Goodput) / (w.Goodput + w.WastedPrefill)
+	return maxDelayShare * max(0, w.WastedPrefill-w.Goodput) / (w.Goodput + w.WastedPrefill)
 }
 
-const maxPatience = 0.6
+const maxDelayShare = 0.6
