--- a/quarantine/cell.go
+++ b/quarantine/cell.go
@@ -51,7 +51,8 @@
 
 // evictFor evicts a record for a new one, from the team with the most records: a caller that sends
 // many different crashing requests evicts only marks of its own team. Of these the one with the
-// fewest crashes goes first, and among equals the oldest. It reports whether there is room.
+// fewest crashes goes first, and among equals the oldest. It reports whether the new record can be
+// stored: if it is itself the one to go, none is evicted.
 func (r *Registry) evictFor(c *record) bool {
 	perTeam := map[uint32]int{c.team: 1}
 	for _, other := range r.records {
--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -71,12 +71,12 @@
 func (f *fleet) deliver() {
 	due := f.updates
 	f.updates = nil
-	for _, n := range due {
-		if n.in--; n.in >= 0 {
-			f.updates = append(f.updates, n)
+	for _, u := range due {
+		if u.in--; u.in >= 0 {
+			f.updates = append(f.updates, u)
 			continue
 		}
-		f.broadcast(n.to, f.hosts[n.to].Apply(n.rows, f.now))
+		f.broadcast(u.to, f.hosts[u.to].Apply(u.rows, f.now))
 	}
 }
 
--- a/quarantine/registry.go
+++ b/quarantine/registry.go
@@ -84,7 +84,7 @@
 	return r.due(now)
 }
 
-// due is DueRows; the caller holds the lock.
+// due is like DueRows. The caller holds the lock.
 func (r *Registry) due(now time.Time) (rows []Row) {
 	for p, e := range r.events.byProcess {
 		if len(e.withheld) == 0 || now.Sub(e.at) < ExplainWait || r.explained(e) {
--- a/quarantine/registry_test.go
+++ b/quarantine/registry_test.go
@@ -52,9 +52,9 @@
 // TestSigns checks what each kind of evidence says about a process, also for planned ends.
 func TestSigns(t *testing.T) {
 	cases := []struct {
-		sign    Evidence
-		planned bool
-		want    Finding
+		evidence Evidence
+		planned  bool
+		want     Finding
 	}{
 		{EvidenceNone, false, FindingUnknown}, {EvidenceBusy, false, FindingUnknown}, {EvidenceAlive, false, FindingAlive},
 		{EvidenceRefused, false, FindingCrashed}, {EvidenceRestarted, false, FindingCrashed},
@@ -62,13 +62,13 @@
 		{EvidenceRefused, true, FindingAlive}, {EvidenceRestarted, true, FindingAlive},
 	}
 	for _, tc := range cases {
-		if got := tc.sign.Evaluate(tc.planned); got != tc.want {
-			t.Errorf("sign %d, planned %v: finding %d, want %d", tc.sign, tc.planned, got, tc.want)
+		if got := tc.evidence.Evaluate(tc.planned); got != tc.want {
+			t.Errorf("evidence %d, planned %v: finding %d, want %d", tc.evidence, tc.planned, got, tc.want)
 		}
 	}
 }
 
-// TestJudge plays the events of one request and checks the verdict.
+// TestJudge applies the events of one request and checks the verdict.
 func TestJudge(t *testing.T) {
 	f := fingerprint("f")
 	type step func(r *Registry, now time.Time)
@@ -87,11 +87,11 @@
 	}
 	cleared := func(r *Registry, now time.Time) { r.Clear(f, now) }
 	cases := []struct {
-		name  string
-		steps []step
-		after time.Duration // after each step
-		want  Verdict
-		rest  time.Duration // after the last step
+		name      string
+		steps     []step
+		after     time.Duration // after each step
+		want      Verdict
+		afterLast time.Duration // after the last step
 	}{
 		{"nothing", nil, 0, Free, 0},
 		{"one crash", []step{early}, time.Second, Suspect, confirmAfter},
@@ -125,7 +125,7 @@
 				now = now.Add(tc.after)
 				r.Sweep(now)
 			}
-			now = now.Add(tc.rest - time.Millisecond)
+			now = now.Add(tc.afterLast - time.Millisecond)
 			if got := verdict(r, f, now); got != tc.want {
 				t.Errorf("verdict %d, want %d", got, tc.want)
 			}
@@ -286,8 +286,8 @@
 		}
 		r.RecordCrash(runs, processes, "e", now)
 	}
-	if v, rest := r.Evaluate(f, now); v != Resting || rest > firstBackoff {
-		t.Errorf("verdict %d, backoff %v", v, rest)
+	if v, backoff := r.Evaluate(f, now); v != Resting || backoff > firstBackoff {
+		t.Errorf("verdict %d, backoff %v", v, backoff)
 	}
 	if v := verdict(r, f, now.Add(firstBackoff)); v != Suspect {
 		t.Errorf("after the backoff: verdict %d", v)
@@ -337,7 +337,8 @@
 	}
 }
 
-// TestGrant plays requests for probes of suspects with one crash (s, t) and two (u, v).
+// TestGrant requests probes of suspects with one crash (s, t) and with two (u, v), and checks
+// which are granted.
 func TestGrant(t *testing.T) {
 	type ask struct {
 		request  string
@@ -361,8 +362,8 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			r, now := New("h"), start
-			for name, ends := range map[string]int{"s": 1, "t": 1, "u": 2, "v": 2} {
-				for range ends {
+			for name, crashes := range map[string]int{"s": 1, "t": 1, "u": 2, "v": 2} {
+				for range crashes {
 					crash(r, fingerprint(name), Running, now)
 				}
 			}
--- a/quarantine/rows.go
+++ b/quarantine/rows.go
@@ -53,7 +53,7 @@
 	return r.rowsOf(f, now)
 }
 
-// rowsOf is RowsOf; the caller holds the lock.
+// rowsOf is like RowsOf. The caller holds the lock.
 func (r *Registry) rowsOf(f request.Fingerprint, now time.Time) (rows []Row) {
 	for s := range stages {
 		k := recordKey{f, s}
--- a/quarantine/trial.go
+++ b/quarantine/trial.go
@@ -32,8 +32,8 @@
 	// maxProbeTime is how long a probe lasts that nobody ended, as its host may be gone. It keeps
 	// other suspects from the endpoint for as long as most answers take.
 	maxProbeTime = 30 * time.Second
-	// SettledAfter is how long a request has to decode before other runs of it may start: four times as
-	// long as those that crashed endpoints took after they were sent.
+	// SettledAfter is how long a request has to decode before other runs of it may start: four times
+	// the time after which requests that crash endpoints did so, counted from when they were sent.
 	SettledAfter = 500 * time.Millisecond
 )
 
--- a/quarantine/verdict.go
+++ b/quarantine/verdict.go
@@ -53,13 +53,13 @@
 )
 
 // Evaluate returns what a request may do now, and how long it still has to back off.
-func (r *Registry) Evaluate(f request.Fingerprint, now time.Time) (v Verdict, rest time.Duration) {
+func (r *Registry) Evaluate(f request.Fingerprint, now time.Time) (v Verdict, backoff time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.evaluate(f, now)
 }
 
-// evaluate is Evaluate; the caller holds the lock.
+// evaluate is like Evaluate. The caller holds the lock.
 func (r *Registry) evaluate(f request.Fingerprint, now time.Time) (v Verdict, backoff time.Duration) {
 	if len(r.records) == 0 {
 		return Free, 0
