--- a/node/drain.go
+++ b/node/drain.go
@@ -63,7 +63,7 @@
 	select {
 	case <-done:
 	case <-time.After(timeout):
-		n.log.Warn("stopped before all goroutines ended")
+		n.log.Warn("stopped without waiting for all to end")
 	}
 }
 
--- a/node/suspects.go
+++ b/node/suspects.go
@@ -31,9 +31,9 @@
 		if r.Mark.Ends == 0 && !r.Mark.Beside {
 			continue
 		}
-		verdict, rest := n.Board.Suspects.Evaluate(r.Request, now)
+		verdict, backoff := n.Board.Suspects.Evaluate(r.Request, now)
 		out = append(out, SuspectRow{Request: r.Request.String(), Stage: r.Stage.String(), Team: n.teamName(r.Team), Verdict: verdict.String(),
-			RetryAfterSeconds: rest.Seconds(), Crashes: r.Mark.Ends, LastEndpoint: r.Endpoint, SeenBy: r.Host, AgeSeconds: float64(r.AgeMillis) / 1000})
+			RetryAfterSeconds: backoff.Seconds(), Crashes: r.Mark.Ends, LastEndpoint: r.Endpoint, SeenBy: r.Host, AgeSeconds: float64(r.AgeMillis) / 1000})
 	}
 	return out
 }
