--- a/owner/owner.go
+++ b/owner/owner.go
@@ -180,9 +180,10 @@
 }
 
 // takeOver loads the state of an endpoint. If its engine allocates memory while it decodes,
-// that is the previous owner's reservations, which the engine's list doesn't show. Otherwise,
-// or if the previous owner knows nothing, it is the endpoint's own list. If that fails too the
-// scheduler starts empty, and refusals by the engine correct it.
+// that is the previous owner's reservations: the forecast of its memory needs the expected and
+// maximum answer lengths, which the engine's list doesn't contain. Otherwise, or if the previous
+// owner hadn't loaded the state, it is that list. If it can't be read either, the scheduler
+// starts empty, and refusals by the engine correct it.
 func (o *Owner) takeOver(ctx context.Context, sched *Scheduler) {
 	ctx, cancel := context.WithTimeout(ctx, takeoverTimeout)
 	defer cancel()
