--- a/owner/empty_test.go
+++ b/owner/empty_test.go
@@ -51,7 +51,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		o, _, publish := evacuationOwner(t, "ppdddd")
 		const waits = 1500 // ms
-		ask := func(name string, n int) EnqueueReply {
+		enqueue := func(name string, n int) EnqueueReply {
 			reply, err := o.Enqueue(t.Context(), EnqueueArgs{Attempt: attempt(n), Endpoint: route.Number(name), Tokens: 10, Slack: 4000, NotYet: waits})
 			if err != nil {
 				t.Error(err)
@@ -60,7 +60,7 @@
 		}
 		replies := map[string]chan EnqueueReply{"r00": make(chan EnqueueReply, 1), "r01": make(chan EnqueueReply, 1)}
 		for name, c := range replies {
-			go func() { c <- ask(name, len(name)+int(name[2])) }()
+			go func() { c <- enqueue(name, len(name)+int(name[2])) }()
 		}
 		time.Sleep(100 * time.Millisecond)
 		publish("d")
@@ -68,14 +68,14 @@
 		if got := <-replies["r00"]; got.Code != result.Evacuated || got.Retry == 0 || time.Since(began) > 0 {
 			t.Errorf("a request queued at the evacuated engine gets %+v after %v", got, time.Since(began))
 		}
-		if got := ask("r00", 9); got.Code != result.Evacuated || time.Since(began) > 0 {
+		if got := enqueue("r00", 9); got.Code != result.Evacuated || time.Since(began) > 0 {
 			t.Errorf("a later request there gets %+v after %v", got, time.Since(began))
 		}
 		if got := <-replies["r01"]; got.Code != result.OK || time.Since(began) < time.Second {
 			t.Errorf("a request queued elsewhere gets %+v after %v", got, time.Since(began))
 		}
 		publish()
-		if got := ask("r00", 10); got.Code != result.OK {
+		if got := enqueue("r00", 10); got.Code != result.OK {
 			t.Errorf("after the evacuation is revoked it answers %+v", got)
 		}
 	})
@@ -86,7 +86,7 @@
 func TestEmptyReserve(t *testing.T) {
 	o, _, publish := evacuationOwner(t, "ppdddd")
 	number := route.Number("r03")
-	ask := func(n int) result.Code {
+	reserve := func(n int) result.Code {
 		a := growingArgs(n, 100, 0, 500)
 		a.Endpoint = number
 		reply, err := o.Reserve(t.Context(), a)
@@ -95,11 +95,11 @@
 		}
 		return reply.Code
 	}
-	if code := ask(1); code != result.OK {
+	if code := reserve(1); code != result.OK {
 		t.Fatalf("code %v before", code)
 	}
 	publish("d")
-	if code := ask(2); code != result.Evacuated {
+	if code := reserve(2); code != result.Evacuated {
 		t.Errorf("code %v during the evacuation, want %v", code, result.Evacuated)
 	}
 	if h := o.Reservations(number); len(h.Rows) != 1 {
@@ -110,7 +110,7 @@
 		t.Errorf("%d reservations are left", len(h.Rows))
 	}
 	publish()
-	if code := ask(3); code != result.OK {
+	if code := reserve(3); code != result.OK {
 		t.Errorf("code %v after the evacuation is revoked", code)
 	}
 }
