--- a/blackboard/census.go
+++ b/blackboard/census.go
@@ -15,7 +15,7 @@
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	c := Census{Domains: map[string]bool{t.self.Domain: true}, Changed: t.self.ChangedAt}
-	near, live := 0, 0
+	known, live := 0, 0
 	for _, h := range t.hosts {
 		own := h.Domain == t.self.Domain
 		if own {
@@ -29,12 +29,12 @@
 		if !own {
 			continue
 		}
-		near++
+		known++
 		if t.live(h, now) {
 			live++
 		}
 	}
-	c.LiveShare = float64(live) / float64(near)
+	c.LiveShare = float64(live) / float64(known)
 	return c
 }
 
--- a/blackboard/choice.go
+++ b/blackboard/choice.go
@@ -133,10 +133,10 @@
 	includeUnconfirmed unconfirmedRule = false
 )
 
-func (t *HostTable) first(key uint64, now time.Time, eligible func(h *Host) bool, d unconfirmedRule) (Host, bool) {
+func (t *HostTable) first(key uint64, now time.Time, eligible func(h *Host) bool, rule unconfirmedRule) (Host, bool) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
-	unconfirmed := func(h *Host) bool { return d == skipUnconfirmed && h.Unconfirmed }
+	unconfirmed := func(h *Host) bool { return rule == skipUnconfirmed && h.Unconfirmed }
 	var best *Host
 	var top uint64
 	for _, h := range t.hosts {
--- a/blackboard/endpoints.go
+++ b/blackboard/endpoints.go
@@ -61,9 +61,9 @@
 
 // ObserveLimit records the limit that an endpoint named in a response, and returns what it changes.
 // now is by package clock.
-func (t *EndpointTable) ObserveLimit(number uint32, now time.Time, w pace.Report) (c pace.Change) {
+func (t *EndpointTable) ObserveLimit(number uint32, now time.Time, report pace.Report) (c pace.Change) {
 	t.Update(number, func(s *route.State) {
-		c = s.Limit.Observe(now, w)
+		c = s.Limit.Observe(now, report)
 		s.LimitedUntil = time.Now().Add(s.Limit.PenaltyLeft(now))
 		if c == pace.ChangeEnded {
 			s.NoPermitUntil, s.RetryAt = time.Time{}, time.Time{}
