--- a/quarantine/evidence.go
+++ b/quarantine/evidence.go
@@ -38,11 +38,11 @@
 // links fail and connections are reset; neither does silence, which a partition causes as well.
 // planned says that the endpoint was leaving when the call broke off: its end says nothing about
 // what ran there.
-func (s Evidence) Evaluate(planned bool) Finding {
+func (e Evidence) Evaluate(planned bool) Finding {
 	switch {
-	case s == EvidenceAlive, planned && (s == EvidenceRefused || s == EvidenceRestarted):
+	case e == EvidenceAlive, planned && (e == EvidenceRefused || e == EvidenceRestarted):
 		return FindingAlive
-	case s == EvidenceRefused, s == EvidenceRestarted:
+	case e == EvidenceRefused, e == EvidenceRestarted:
 		return FindingCrashed
 	}
 	return FindingUnknown
--- a/quarantine/registry_test.go
+++ b/quarantine/registry_test.go
@@ -340,7 +340,7 @@
 // TestGrant requests probes of suspects with one crash (s, t) and with two (u, v), and checks
 // which are granted.
 func TestGrant(t *testing.T) {
-	type ask struct {
+	type probeRequest struct {
 		request  string
 		holder   uint64
 		endpoint uint32
@@ -348,16 +348,16 @@
 		want     string // granted, waits, elsewhere
 	}
 	cases := []struct {
-		name string
-		asks []ask
+		name     string
+		requests []probeRequest
 	}{
-		{"one place at a time", []ask{{"s", 1, 1, 0, "granted"}, {"s", 2, 2, 0, "waits"}, {"s", 1, 3, 0, "granted"}, {"s", 2, 2, exclusiveFor, "granted"}}},
-		{"suspects with one crash share an endpoint", []ask{{"s", 1, 1, 0, "granted"}, {"t", 2, 1, 0, "granted"}}},
-		{"one with two crashes goes where no other suspect is", []ask{{"s", 1, 1, 0, "granted"}, {"u", 2, 1, 0, "elsewhere"}, {"u", 2, 2, 0, "granted"}, {"s", 3, 2, 0, "waits"}}},
-		{"no other suspect goes where it is", []ask{{"u", 1, 1, 0, "granted"}, {"s", 2, 1, 0, "elsewhere"}, {"v", 3, 1, 0, "elsewhere"}, {"v", 3, 2, 0, "granted"}}},
-		{"before an endpoint is chosen", []ask{{"u", 1, 0, 0, "granted"}, {"v", 2, 0, 0, "granted"}, {"u", 1, 1, 0, "granted"}, {"v", 2, 1, 0, "elsewhere"}}},
-		{"no endpoint is left for it", []ask{{"u", 1, 1, 0, "granted"}, {"u", 2, 0, exclusiveFor, "granted"}, {"v", 3, 0, 0, "waits"}}},
-		{"a holder that is gone", []ask{{"u", 1, 1, 0, "granted"}, {"v", 2, 1, maxProbeTime, "granted"}}},
+		{"one place at a time", []probeRequest{{"s", 1, 1, 0, "granted"}, {"s", 2, 2, 0, "waits"}, {"s", 1, 3, 0, "granted"}, {"s", 2, 2, exclusiveFor, "granted"}}},
+		{"suspects with one crash share an endpoint", []probeRequest{{"s", 1, 1, 0, "granted"}, {"t", 2, 1, 0, "granted"}}},
+		{"one with two crashes goes where no other suspect is", []probeRequest{{"s", 1, 1, 0, "granted"}, {"u", 2, 1, 0, "elsewhere"}, {"u", 2, 2, 0, "granted"}, {"s", 3, 2, 0, "waits"}}},
+		{"no other suspect goes where it is", []probeRequest{{"u", 1, 1, 0, "granted"}, {"s", 2, 1, 0, "elsewhere"}, {"v", 3, 1, 0, "elsewhere"}, {"v", 3, 2, 0, "granted"}}},
+		{"before an endpoint is chosen", []probeRequest{{"u", 1, 0, 0, "granted"}, {"v", 2, 0, 0, "granted"}, {"u", 1, 1, 0, "granted"}, {"v", 2, 1, 0, "elsewhere"}}},
+		{"no endpoint is left for it", []probeRequest{{"u", 1, 1, 0, "granted"}, {"u", 2, 0, exclusiveFor, "granted"}, {"v", 3, 0, 0, "waits"}}},
+		{"a holder that is gone", []probeRequest{{"u", 1, 1, 0, "granted"}, {"v", 2, 1, maxProbeTime, "granted"}}},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -367,7 +367,7 @@
 					crash(r, fingerprint(name), Running, now)
 				}
 			}
-			for i, a := range tc.asks {
+			for i, a := range tc.requests {
 				now = now.Add(a.after)
 				reply := r.Grant(Ask{Request: fingerprint(a.request), Stage: Running, Holder: a.holder, Endpoint: a.endpoint, Room: 2}, now)
 				got := "waits"
@@ -378,7 +378,7 @@
 					got = "elsewhere"
 				}
 				if got != a.want {
-					t.Errorf("ask %d: %s, want %s", i, got, a.want)
+					t.Errorf("request %d: %s, want %s", i, got, a.want)
 				}
 			}
 		})
@@ -390,16 +390,16 @@
 func TestSettle(t *testing.T) {
 	r, f := New("h"), fingerprint("f")
 	crash(r, f, Running, start)
-	ask := func(holder uint64) bool {
+	grant := func(holder uint64) bool {
 		return r.Grant(Ask{Request: f, Stage: Running, Holder: holder, Endpoint: 1}, start).Granted
 	}
-	if !ask(1) || ask(2) {
+	if !grant(1) || grant(2) {
 		t.Fatal("not one at a time")
 	}
-	if r.EndProbe(1); !ask(2) {
+	if r.EndProbe(1); !grant(2) {
 		t.Error("the next one doesn't begin")
 	}
-	if r.SettleProbe(2, start); !ask(3) || !ask(4) {
+	if r.SettleProbe(2, start); !grant(3) || !grant(4) {
 		t.Error("others don't run beside one that has settled")
 	}
 }
