--- a/node/status.go
+++ b/node/status.go
@@ -112,8 +112,8 @@
 	es := EndpointStatus{Endpoint: st.Spec.Name, Role: st.Role, Domain: st.Spec.Domain, State: stateName(st), QueueMillis: st.Digest.QueueMillis,
 		FreeTokens: st.Digest.FreeTokens, FreeSlots: st.Digest.FreeSlots, SlowFactor: st.SlowFactor(), FailedPercent: st.Digest.FailPct, DigestAgeSeconds: -1, ColdSeconds: st.ColdRemaining(now).Seconds()}
 	es.PermitsGranted, es.PermitsRefused = n.Owner.Permits.Count(st.Number)
-	if w := st.Limit.Report(); w.Named {
-		es.LimitPerSecond, es.LimitAgeSeconds = &w.PerSecond, clock.Now().Sub(st.Limit.Since).Seconds()
+	if limit := st.Limit.Report(); limit.Named {
+		es.LimitPerSecond, es.LimitAgeSeconds = &limit.PerSecond, clock.Now().Sub(st.Limit.Since).Seconds()
 	}
 	if !st.DigestAt.IsZero() {
 		es.DigestAgeSeconds = now.Sub(st.DigestAt).Seconds()
