--- a/owner/abroad_test.go
+++ b/owner/abroad_test.go
@@ -41,21 +41,21 @@
 		t.Fatal(err)
 	}
 	sched := newScheduler(v, v.Endpoint("docket-decode-1"), 1, at(0)) // memory for 48,000 tokens
-	reserve := func(n, tokens int, crossRegion bool) *result.Error {
+	tryReserve := func(n, tokens int, crossRegion bool) *result.Error {
 		_, refusal := sched.reserve(at(0), ReserveArgs{Attempt: attempt(n), Tokens: tokens, MaxAnswer: 100, Slack: 0, Abroad: crossRegion})
 		return refusal
 	}
-	if refusal := reserve(1, 20000, true); refusal != nil {
+	if refusal := tryReserve(1, 20000, true); refusal != nil {
 		t.Fatalf("an idle engine refuses a cross-region request: %v", refusal)
 	}
-	if refusal := reserve(2, 18000, false); refusal != nil {
+	if refusal := tryReserve(2, 18000, false); refusal != nil {
 		t.Fatal(refusal)
 	}
-	refusal := reserve(3, 6000, true)
+	refusal := tryReserve(3, 6000, true)
 	if refusal == nil || refusal.Code != result.NoDecodeMemory || refusal.RetryAfter <= 0 {
 		t.Errorf("memory kept for its own region is given to another: %v", refusal)
 	}
-	if refusal := reserve(4, 6000, false); refusal != nil {
+	if refusal := tryReserve(4, 6000, false); refusal != nil {
 		t.Errorf("a request of the engine's own region gets %v", refusal)
 	}
 }
