--- a/route/baseline.go
+++ b/route/baseline.go
@@ -10,30 +10,30 @@
 // PickBaseline chooses one of the eligible endpoints by a baseline policy, without regard to
 // reservations. counter is used by round robin. It returns nil if no endpoint is eligible.
 func PickBaseline(list []*State, mode config.PolicyMode, counter uint64, r *Request) *State {
-	var open []*State
+	var eligible []*State
 	for _, s := range list {
 		if eligibleForModel(s, r) {
-			open = append(open, s)
+			eligible = append(eligible, s)
 		}
 	}
-	n := len(open)
+	n := len(eligible)
 	if n == 0 {
 		return nil
 	}
-	slices.SortFunc(open, func(a, b *State) int { return cmp.Compare(a.Number, b.Number) })
+	slices.SortFunc(eligible, func(a, b *State) int { return cmp.Compare(a.Number, b.Number) })
 	switch mode {
 	case config.ModeRoundRobin:
-		return open[counter%uint64(n)]
+		return eligible[counter%uint64(n)]
 	case config.ModeTwoChoices:
-		a, b := open[int(noise(r.Seed, 1)*float64(n))], open[int(noise(r.Seed, 2)*float64(n))]
+		a, b := eligible[int(noise(r.Seed, 1)*float64(n))], eligible[int(noise(r.Seed, 2)*float64(n))]
 		if knownLoad(b) < knownLoad(a) {
 			return b
 		}
 		return a
 	case config.ModeLeastLoad:
-		return slices.MinFunc(open, func(a, b *State) int { return cmp.Compare(knownLoad(a), knownLoad(b)) })
+		return slices.MinFunc(eligible, func(a, b *State) int { return cmp.Compare(knownLoad(a), knownLoad(b)) })
 	default:
-		return open[int(noise(r.Seed, 0)*float64(n))]
+		return eligible[int(noise(r.Seed, 0)*float64(n))]
 	}
 }
 
--- a/route/draw.go
+++ b/route/draw.go
@@ -32,10 +32,10 @@
 }
 
 // sample calls visit for a bounded number of endpoints and returns how many were eligible.
-func (f *Fleet) sample(l *List, r *Request, visit func(s *State) bool) (open int) {
+func (f *Fleet) sample(l *List, r *Request, visit func(s *State) bool) (eligible int) {
 	count := func(s *State) {
 		if visit(s) {
-			open++
+			eligible++
 		}
 	}
 	for _, number := range f.owned {
@@ -50,7 +50,7 @@
 	}
 	draw(l.InFailureDomain(r.EntryDomain), f.sampling.inDomain, r.drawSeed(), count)
 	draw(l.All(), f.sampling.anywhere, r.drawSeed()+1, count)
-	return open
+	return eligible
 }
 
 // drawSeed returns the seed of a request's samples. It depends on the number of excluded
--- a/route/draw_test.go
+++ b/route/draw_test.go
@@ -12,8 +12,8 @@
 func TestLook(t *testing.T) {
 	cases := []struct {
 		name                   string
-		engines, open          int
-		minScanned, maxScanned int // scanned
+		engines, eligible      int
+		minScanned, maxScanned int
 	}{
 		{"a small pool: all", 100, 100, 100, 100},
 		{"a large one", 1000, 1000, 64, 200},
@@ -25,22 +25,22 @@
 		t.Run(tc.name, func(t *testing.T) {
 			f := NewFleet(oneDomain(t, tc.engines))
 			r := &Request{Group: f.routes["all"], Seed: 7}
-			scanned, open := 0, map[*State]bool{}
-			for _, s := range r.Group.Prefill.All()[:tc.open] {
-				open[s] = true
+			scanned, eligible := 0, map[*State]bool{}
+			for _, s := range r.Group.Prefill.All()[:tc.eligible] {
+				eligible[s] = true
 			}
 			seen := map[*State]bool{}
 			f.scan(&r.Group.Prefill, r, func(s *State) bool {
 				scanned++
 				seen[s] = true
-				return open[s]
+				return eligible[s]
 			})
 			if scanned < tc.minScanned || scanned > tc.maxScanned {
 				t.Errorf("scanned %d of %d, want %d to %d", scanned, tc.engines, tc.minScanned, tc.maxScanned)
 			}
-			for s := range open {
+			for s := range eligible {
 				if tc.minScanned == tc.engines && !seen[s] {
-					t.Fatalf("%s is open and was not scanned", s.Spec.Name)
+					t.Fatalf("%s is eligible and was not scanned", s.Spec.Name)
 				}
 			}
 		})
--- a/route/gate.go
+++ b/route/gate.go
@@ -79,8 +79,9 @@
 	return [reasonCount]string{"", "gone", "leaving", "doubted", "emptied", "down", "wrong_state", "cut_off", "resting", "no_home", "other_region", "cold", "limited", "connections", "excluded", "trial"}[b]
 }
 
-// IneligibleReason returns why a request may not be sent to an endpoint of any role now; zero: it may.
-// Every path checks it when an endpoint is chosen and again just before the call.
+// IneligibleReason returns why a request may not be sent to an endpoint of any role now;
+// ReasonNone: it may. Every path checks it when an endpoint is chosen and again just before the
+// call.
 func IneligibleReason(s *State, r *Request) Reason {
 	switch {
 	case s.IsLeaving():
@@ -132,8 +133,9 @@
 // Eligible reports whether a request may be sent to an endpoint of any role now.
 func Eligible(s *State, r *Request) bool { return IneligibleReason(s, r) == ReasonNone }
 
-// MainReason returns the most frequent reason among endpoints of which none is eligible for a request;
-// zero: the list is empty. Being in a remote region counts only if there is no other reason.
+// MainReason returns the most frequent reason among endpoints of which none is eligible for a
+// request; ReasonNone: the list is empty. Being in a remote region counts only if there is no other
+// reason.
 func MainReason(list []*State, r *Request) Reason {
 	var counts [reasonCount]int
 	for _, s := range list {
--- a/route/gone.go
+++ b/route/gone.go
@@ -14,8 +14,8 @@
 }
 
 const (
-	// removalTTL is how long a removal is remembered. A restored copy of the store is some
-	// seconds old.
+	// removalTTL is how long a removal is remembered. It is far longer than the age of a copy that
+	// the store is restored from, which is some seconds.
 	removalTTL = time.Minute
 	// minRemovals is how many removals are kept regardless of age.
 	minRemovals = 64
--- a/route/gone_test.go
+++ b/route/gone_test.go
@@ -11,11 +11,11 @@
 // later one. A store restored from an old copy brings back endpoints that no longer live.
 func TestGoneComesBack(t *testing.T) {
 	for _, tc := range []struct {
-		name       string
-		era        uint64 // in which it is registered again; it is removed in era 1
-		born, back int64
-		after      float64 // s since it was removed
-		barred     bool
+		name                  string
+		era                   uint64  // in which it is registered again; it is removed in era 1
+		removed, reregistered int64   // start times, when removed and when registered again; 0: unknown
+		after                 float64 // s since it was removed
+		unconfirmed           bool
 	}{
 		{"the same era", 1, 5, 5, 2, false},
 		{"a later era", 2, 5, 5, 2, true},
@@ -34,16 +34,16 @@
 				v.Roster = at
 				return &v
 			}
-			f.SetView(view(1, tc.born, "e", "other"), noticeTime)
-			f.SetView(view(1, tc.born, "other"), noticeTime)
-			f.SetView(view(tc.era, tc.back, "e", "other"), noticeTimeAt(tc.after))
+			f.SetView(view(1, tc.removed, "e", "other"), noticeTime)
+			f.SetView(view(1, tc.removed, "other"), noticeTime)
+			f.SetView(view(tc.era, tc.reregistered, "e", "other"), noticeTimeAt(tc.after))
 			for _, at := range []struct {
-				seconds float64
-				barred  bool
-			}{{tc.after, tc.barred}, {tc.after + 4.9, tc.barred}, {tc.after + 5, false}} {
+				seconds     float64
+				unconfirmed bool
+			}{{tc.after, tc.unconfirmed}, {tc.after + 4.9, tc.unconfirmed}, {tc.after + 5, false}} {
 				r := &Request{Region: ^config.Regions(0), Now: noticeTimeAt(at.seconds)}
-				if got := IneligibleReason(f.Find(Number("e")), r) == ReasonUnconfirmed; got != at.barred {
-					t.Errorf("%v s later: unconfirmed %v, want %v", at.seconds-tc.after, got, at.barred)
+				if got := IneligibleReason(f.Find(Number("e")), r) == ReasonUnconfirmed; got != at.unconfirmed {
+					t.Errorf("%v s later: unconfirmed %v, want %v", at.seconds-tc.after, got, at.unconfirmed)
 				}
 				if IneligibleReason(f.Find(Number("other")), r) != ReasonNone {
 					t.Error("an endpoint that stayed is excluded")
--- a/route/heads.go
+++ b/route/heads.go
@@ -21,24 +21,24 @@
 		h.remove(d.Head, number)
 	}
 	for _, d := range now {
-		if of := h[d.Head]; len(of) < maxPerHead {
-			h[d.Head] = append(of, number)
+		if numbers := h[d.Head]; len(numbers) < maxPerHead {
+			h[d.Head] = append(numbers, number)
 		}
 	}
 }
 
 func (h headIndex) remove(head, number uint32) {
-	of := h[head]
-	for i := range of {
-		if of[i] != number {
+	numbers := h[head]
+	for i := range numbers {
+		if numbers[i] != number {
 			continue
 		}
-		if len(of) == 1 {
+		if len(numbers) == 1 {
 			delete(h, head)
 			return
 		}
-		of[i] = of[len(of)-1]
-		h[head] = of[:len(of)-1]
+		numbers[i] = numbers[len(numbers)-1]
+		h[head] = numbers[:len(numbers)-1]
 		return
 	}
 }
--- a/route/notices.go
+++ b/route/notices.go
@@ -27,8 +27,8 @@
 // another is sent.
 const probeTimeout = time.Second
 
-// isBackingOff reports whether the endpoint asked for backoff, or a first request is just probing
-// whether it accepts requests again.
+// isBackingOff reports whether the backoff that the endpoint asked for is in effect, or a first
+// request after it is probing whether the endpoint accepts requests again.
 func (n *Notices) isBackingOff(now time.Time) bool {
 	return n != nil && (now.Before(n.BackoffUntil) || !n.recovered && now.Before(n.probeUntil))
 }
@@ -85,7 +85,7 @@
 	minNotices = 64
 )
 
-// ObserveNotice applies a notice of an endpoint, which may have lost its registration meanwhile. Notices of
+// ObserveNotice applies a notice of an endpoint, whose registration may be gone by now. Notices of
 // an earlier start of the endpoint are ignored.
 func (f *Fleet) ObserveNotice(number uint32, notice Notice) (c NoticeChange) {
 	s := f.states[number]
--- a/route/notices_test.go
+++ b/route/notices_test.go
@@ -116,11 +116,11 @@
 // registers the endpoint again. The notice must apply unless the endpoint has restarted.
 func TestNoticeWithoutRegistration(t *testing.T) {
 	for _, tc := range []struct {
-		name      string
-		born      int64 // of the call
-		back      int64
-		leaving   bool
-		registers bool // another start, before the answer comes
+		name         string
+		noticed      int64 // start time of the process that was called; 0: unknown
+		reregistered int64 // start time when registered again
+		leaving      bool
+		registers    bool // registered again before the answer comes
 	}{
 		{"the same start", 5, 5, true, false},
 		{"no start time is known", 0, 0, true, false},
@@ -128,16 +128,16 @@
 		{"a later start is registered already", 5, 6, false, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			f := NewFleet(viewOfServices(t, tc.born, "e"))
-			f.SetView(viewOfServices(t, tc.born, "other"), noticeTime)
+			f := NewFleet(viewOfServices(t, tc.noticed, "e"))
+			f.SetView(viewOfServices(t, tc.noticed, "other"), noticeTime)
 			if tc.registers {
-				f.SetView(viewOfServices(t, tc.back, "e"), noticeTime)
+				f.SetView(viewOfServices(t, tc.reregistered, "e"), noticeTime)
 			}
-			f.ObserveNotice(Number("e"), Notice{Leaving: true, Backoff: time.Second, Started: tc.born, ReceivedAt: noticeTime})
-			f.SetView(viewOfServices(t, tc.back, "e"), noticeTimeAt(0.5))
+			f.ObserveNotice(Number("e"), Notice{Leaving: true, Backoff: time.Second, Started: tc.noticed, ReceivedAt: noticeTime})
+			f.SetView(viewOfServices(t, tc.reregistered, "e"), noticeTimeAt(0.5))
 			s := f.Find(Number("e"))
 			if s.IsLeaving() != tc.leaving || s.IsBackingOff(noticeTimeAt(0.5)) != tc.leaving {
-				t.Errorf("leaving %v, resting %v; want %v", s.IsLeaving(), s.IsBackingOff(noticeTimeAt(0.5)), tc.leaving)
+				t.Errorf("leaving %v, backing off %v; want %v", s.IsLeaving(), s.IsBackingOff(noticeTimeAt(0.5)), tc.leaving)
 			}
 		})
 	}
--- a/route/pick.go
+++ b/route/pick.go
@@ -123,11 +123,11 @@
 	v := f.View
 	var pre, dec beam
 	prefill := func(s *State) bool {
-		open := eligibleForModel(s, r)
-		if open {
+		eligible := eligibleForModel(s, r)
+		if eligible {
 			pre.add(prefillCost(v, s, r), s)
 		}
-		return open
+		return eligible
 	}
 	if r.FixedPrefill == 0 {
 		f.scan(&r.Group.Prefill, r, prefill)
@@ -135,11 +135,11 @@
 		prefill(s)
 	}
 	f.scan(&r.Group.Decode, r, func(s *State) bool {
-		open := eligibleForModel(s, r) && r.inPrefillRegion(s)
-		if open {
+		eligible := eligibleForModel(s, r) && r.inPrefillRegion(s)
+		if eligible {
 			dec.add(decodeCost(v, s, r), s)
 		}
-		return open
+		return eligible
 	})
 	var p, d *State
 	minCost := math.Inf(1)
@@ -283,12 +283,12 @@
 	return Choice{Decode: best.Spec, DigestAge: best.Age(r.Now), TransferDuration: LinkTime(best.Spec, kvBytes(f.View, best, r.Tokens))}
 }
 
-// PickService returns the cheapest endpoint of a plain service for which open reports true; nil:
-// there is none.
-func (f *Fleet) PickService(r *Request, open func(s *State) bool, cost func(s *State) float64) (best *State) {
+// PickService returns the cheapest endpoint of a plain service for which eligible reports true;
+// nil: there is none.
+func (f *Fleet) PickService(r *Request, eligible func(s *State) bool, cost func(s *State) float64) (best *State) {
 	minCost := math.Inf(1)
 	f.scan(&r.Group.Service, r, func(s *State) bool {
-		if !open(s) {
+		if !eligible(s) {
 			return false
 		}
 		if c := cost(s); c < minCost {
--- a/route/state.go
+++ b/route/state.go
@@ -1,7 +1,7 @@
 // Package route chooses the prefill and the decode engine of a request.
 //
-// Its functions work on a snapshot of endpoint states and a request: they do no I/O, take no
-// lock and read no clock. They only choose which endpoint to ask for. Whether the chosen endpoint takes the
+// Its functions work on a snapshot of endpoint states and a request: they do no I/O, take no lock
+// and read no clock. They only choose which endpoint to try. Whether the chosen endpoint takes the
 // request is decided by its owner, and finally by the endpoint itself.
 package route
 
@@ -74,7 +74,7 @@
 	Calls            CallStats
 }
 
-// Number returns the number that stands for an endpoint's name in messages.
+// Number returns the number that identifies an endpoint in messages. It is derived from the name.
 func Number(name string) uint32 { return config.NameNumber(name) }
 
 // IsLeaving reports whether the endpoint is leaving, by its registration, its owner's digest or its
@@ -104,7 +104,7 @@
 
 // CallStats sums up the outcomes of this host's own calls to an endpoint. Older calls count less.
 type CallStats struct {
-	FailedShare            float64   // decaying share of failed calls, as of At
+	FailedShare            float64   // decaying share of failed calls, as of LastCall
 	LastCall               time.Time // of the last call
 	UnreachableUntil       time.Time // until when it counts as unreachable
 	ConsecutiveUnreachable int       // consecutive calls that didn't reach it
--- a/route/ways_test.go
+++ b/route/ways_test.go
@@ -106,7 +106,7 @@
 		sizes   sampleSizes
 		bounded bool
 	}{
-		{"standing", defaultSampling, true},
+		{"default", defaultSampling, true},
 		{"few drawn", sampleSizes{scanAll: 128, inDomain: 4, anywhere: 2}, false},
 		{"many drawn", sampleSizes{scanAll: 128, inDomain: 200, anywhere: 50}, false},
 	}
