--- a/region/region.go
+++ b/region/region.go
@@ -57,11 +57,12 @@
 
 // How many requests an endpoint with free capacity adds to its region's offer. A prefill engine
 // adds several, because a prompt takes a tenth of a second and a summary is at least a second
-// old. A decode engine adds one to maxPerDecode, by its free memory.
+// old. A decode engine adds one to maxPerDecode, by its free memory. An endpoint of a plain service
+// adds several calls.
 const (
 	requestsPerPrefill = 4
 	maxPerDecode       = 4
-	perIdleDecode      = 8 // at an empty decode engine, before the bound of maxPerDecode
+	perIdleDecode      = 8 // times the share of free memory above ownShare; then bounded by maxPerDecode
 	requestsPerService = 2
 )
 
@@ -71,9 +72,9 @@
 	return min(max(1, int(perIdleDecode*left)), maxPerDecode)
 }
 
-// minFreeShare is the share of a region's engines of one role above which it offers capacity. With
-// fewer free engines its own callers are about to be refused, and remote hosts use the offer some
-// seconds late.
+// minFreeShare is the share of a pool's endpoints of one role that must be exceeded by the free ones
+// for a region to offer any capacity. With fewer free ones the region's own callers are about to be
+// refused, and remote hosts use the offer some seconds late.
 const minFreeShare = 0.25
 
 // maxDigestAge is the age beyond which a digest says nothing about an engine's capacity.
@@ -141,11 +142,11 @@
 // addEndpoint counts one endpoint. One that is cold or names a limit counts as not free: its
 // capacity is given out by start permits, which are for callers of its own region.
 func (p *pool) addEndpoint(s *route.State, now time.Time) {
-	open := !s.IsLeaving() && !s.Evacuated && !s.IsBackingOff(now) && !s.IsCold(now) && !s.IsLimited(now) && s.Digest.Flags == 0 && !now.Before(s.CutOffUntil) && !s.Calls.IsUnreachable(now)
+	available := !s.IsLeaving() && !s.Evacuated && !s.IsBackingOff(now) && !s.IsCold(now) && !s.IsLimited(now) && s.Digest.Flags == 0 && !now.Before(s.CutOffUntil) && !s.Calls.IsUnreachable(now)
 	if s.Role == config.Service {
 		if s.Calls.MeanSeconds > 0 {
 			took := time.Duration(s.Calls.MeanSeconds * float64(time.Second))
-			p.service.add(open && !now.Before(s.Calls.FullUntil) && s.Calls.FailureRate(now) < maxFailing, requestsPerService, took)
+			p.service.add(available && !now.Before(s.Calls.FullUntil) && s.Calls.FailureRate(now) < maxFailing, requestsPerService, took)
 		}
 		return
 	}
@@ -157,12 +158,12 @@
 	d := &s.Digest
 	if s.Role == config.Prefill {
 		queue := time.Duration(d.QueueMillis) * time.Millisecond
-		p.prefill.add(open && AcceptsPrefill(queue), requestsPerPrefill, queue)
+		p.prefill.add(available && AcceptsPrefill(queue), requestsPerPrefill, queue)
 		return
 	}
-	room := DecodeCapacity{Free: int(d.FreeTokens), Memory: s.Spec.MemoryTokens, Slots: int(d.FreeSlots), TotalSlots: s.Spec.Slots,
+	free := DecodeCapacity{Free: int(d.FreeTokens), Memory: s.Spec.MemoryTokens, Slots: int(d.FreeSlots), TotalSlots: s.Spec.Slots,
 		Wait: time.Duration(d.WaitMillis) * time.Millisecond}
-	p.decode.add(open && AcceptsDecode(room), offeredRequests(room), 0)
+	p.decode.add(available && AcceptsDecode(free), offeredRequests(free), 0)
 }
 
 // maxFailing is the share of failed calls from which an endpoint of a service is not offered.
--- a/region/region_test.go
+++ b/region/region_test.go
@@ -16,9 +16,9 @@
 func TestJudge(t *testing.T) {
 	need := Need{TimeLeft: 600 * ms, Work: 100 * ms}
 	cases := []struct {
-		name string
-		see  func(n *Need, r *RemoteRegion)
-		want Verdict
+		name   string
+		change func(n *Need, r *RemoteRegion)
+		want   Verdict
 	}{
 		{"capacity is free", func(*Need, *RemoteRegion) {}, InTime},
 		{"not an allowed region", func(_ *Need, r *RemoteRegion) { r.Allowed = false }, NotAllowed},
@@ -40,7 +40,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			n := need
 			r := RemoteRegion{Summary: Summary{Capacity: 10, WaitMillis: 50}, Known: true, Age: 0, Detour: 100 * ms, Requesters: 10, Allowed: true, EligibleEndpoints: 3}
-			tc.see(&n, &r)
+			tc.change(&n, &r)
 			if got := Evaluate(n, &r, 0.5); got != tc.want {
 				t.Errorf("%q, want %q", got, tc.want)
 			}
@@ -91,10 +91,10 @@
 		return out
 	}
 	cases := []struct {
-		name  string
-		see   func(s []*route.State)
-		want  uint32
-		known bool
+		name   string
+		change func(s []*route.State)
+		want   uint32
+		known  bool
 	}{
 		{"capacity everywhere", func([]*route.State) {}, 2 * requestsPerPrefill, true},
 		{"one decode engine is full", func(s []*route.State) { s[2].Digest.FreeTokens = 0 }, 6, true},
@@ -136,7 +136,7 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			states := region()
-			tc.see(states)
+			tc.change(states)
 			got := Summarize(slices.Values(states), own, 7, now)
 			if known := len(got) > 0; known != tc.known {
 				t.Fatalf("summaries %v, want some: %v", got, tc.known)
@@ -152,11 +152,11 @@
 // beyond what is reserved for its own.
 func TestOwnFirst(t *testing.T) {
 	if !AcceptsPrefill(100*ms) || AcceptsPrefill(maxPrefillQueue+ms) {
-		t.Error("turns")
+		t.Error("prefill: accepted above maxPrefillQueue, or refused far below it")
 	}
-	room := DecodeCapacity{Free: 400, Memory: 1000, Slots: 5, TotalSlots: 10, Need: 300}
-	if !AcceptsDecode(room) {
-		t.Errorf("%+v is refused", room)
+	free := DecodeCapacity{Free: 400, Memory: 1000, Slots: 5, TotalSlots: 10, Need: 300}
+	if !AcceptsDecode(free) {
+		t.Errorf("%+v is refused", free)
 	}
 	for _, less := range []DecodeCapacity{
 		{Free: 390, Memory: 1000, Slots: 5, TotalSlots: 10, Need: 300},
--- a/region/take.go
+++ b/region/take.go
@@ -11,8 +11,8 @@
 // typical load counted as full because of bursty arrivals, and the regions offered nothing.
 const maxPrefillQueue = 400 * time.Millisecond
 
-// AcceptsPrefill reports whether a prefill engine with this much queued work accepts prompts of other
-// regions.
+// AcceptsPrefill reports whether a prefill engine with this much queued work accepts prompts of
+// other regions.
 func AcceptsPrefill(queued time.Duration) bool { return queued <= maxPrefillQueue }
 
 // DecodeCapacity is the free capacity of a decode engine, in tokens and requests.
