--- a/roles/roles_test.go
+++ b/roles/roles_test.go
@@ -170,7 +170,7 @@
 	})
 }
 
-// TestLasting samples a pool every half second. The digits are the number of runners out of balance,
+// TestLasting samples a pool every half second. A sample is the number of runners out of balance,
 // negative in the other direction. It checks how many count as lasting after the last sample.
 func TestLasting(t *testing.T) {
 	cases := []struct {
