--- a/forecast/guesses.go
+++ b/forecast/guesses.go
@@ -2,10 +2,10 @@
 
 import "math"
 
-// Estimates forecasts the length of answers from callers' estimates. Estimates are right in the median
-// but often far off, and they vary more than answers do. So the logarithm of a length is forecast by
-// linear regression on the logarithm of its estimate, with a learned slope, mostly below 1, and a
-// normally distributed error.
+// Estimates forecasts the length of answers from callers' estimates. Estimates are right in the
+// median but often far off, and they vary more than answers do. So the logarithm of a length is
+// forecast by linear regression on the logarithm of its estimate, with a learned slope, mostly below
+// 1, and a normally distributed error.
 type Estimates struct {
 	estimates    RunningMean // logarithms of the estimates of all requests
 	offset       RunningMean // of answers from their estimates, in logarithms
--- a/forecast/moment.go
+++ b/forecast/moment.go
@@ -1,7 +1,7 @@
 package forecast
 
-// RunningMean is a running mean. Weight is the number of observations behind it, including those that a
-// prior counts for.
+// RunningMean is a running mean. Weight is the number of observations behind it; a prior counts as
+// some of them.
 type RunningMean struct{ Mean, Weight float64 }
 
 // maxWeight bounds the weight of a mean: older observations decay exponentially.
--- a/forecast/usual.go
+++ b/forecast/usual.go
@@ -1,7 +1,8 @@
 package forecast
 
-// Typical is the typical request of an engine: averages over its last requests, in tokens. The engine's
-// capacity is reported to other hosts in terms of it. The zero value has no observations.
+// Typical is the typical request of an engine: averages over its last requests, in tokens. The wait
+// for capacity that is reported to other hosts is the wait of such a request. The zero value has no
+// observations.
 type Typical struct{ prompt, answer, estimated RunningMean }
 
 // typicalWindow is how many requests the averages cover.
