--- a/copies/copies.go
+++ b/copies/copies.go
@@ -50,24 +50,24 @@
 	CallerGone  bool
 	MayHaveRun  bool // else the request can be routed again, and nothing is lost
 	MayStillRun bool // the engine may still run it: it neither ended it nor is unreachable
-	// How long decode has run. Before a first part of the replica can have arrived there is
-	// nothing to continue from, and an engine that loses the request before it looks for the replica
-	// counts as having run it a second time.
+	// DecodeTime is how long decode has run. Before the first part of the replica can have arrived
+	// there is nothing to continue from. A call to continue would then only risk a second run: an
+	// engine that loses the request before it looks for the replica counts as having run it.
 	DecodeTime time.Duration
 }
 
 // firstPartDelay is how long decode runs until the first part of the KV cache has reached the engine
-// that keeps the replica. Parts are sent a few times per second.
+// that keeps the replica: parts are sent a few times per second.
 const firstPartDelay = 250 * time.Millisecond
 
-// CanContinue reports whether the request may continue from its replica. It may not while the first engine
-// may still run it, because it would run twice at the same time.
+// CanContinue reports whether the request may continue from its replica. It may not while the first
+// engine may still run it, because it would run twice at the same time.
 func (e End) CanContinue() bool {
 	return e.Replicated && !e.CallerGone && e.MayHaveRun && !e.MayStillRun && e.DecodeTime >= firstPartDelay
 }
 
-// HasFreeMemory reports whether the engines in the decode engine's region have enough free memory to start
-// a replica.
+// HasFreeMemory reports whether the engines in the decode engine's region have enough free memory to
+// start a replica.
 func (p Policy) HasFreeMemory(list []*route.State, engine *route.State) bool {
 	free, total := 0, 0
 	for _, s := range list {
@@ -100,9 +100,9 @@
 	return max(float64(s.Digest.FailPct)/100, s.Calls.FailureRate(now))
 }
 
-// reservedShare is the share of an engine's memory that stays free beside a replica, so that replicas
-// yield to requests before the engine is full. It is room for about two requests of typical size on
-// engines that hold nine.
+// reservedShare is the share of an engine's memory that stays free beside a replica, so that no
+// replica is added to an engine that requests are about to fill. On engines that hold nine requests
+// of typical size it is memory for about two.
 const reservedShare = 0.2
 
 // ReservedTokens returns how many tokens stay free beside a replica at an endpoint.
@@ -115,10 +115,10 @@
 	costOtherOwner = 0.1 // owned by another host: one more message
 )
 
-// SelectEndpoint returns the endpoint that should keep a replica of a request's KV cache; nil: no eligible one
-// has capacity for it with the reserved share left. It is in the decode engine's region, because a
-// transfer between regions takes ten times as long. Endpoints that are excluded for the request are
-// excluded for its replica too.
+// SelectEndpoint returns the endpoint that should keep a replica of a request's KV cache; nil: no
+// eligible one has capacity for it with the reserved share left. It is in the decode engine's region,
+// because a transfer between regions takes ten times as long. Endpoints that are excluded for the
+// request are excluded for its replica too.
 func SelectEndpoint(list []*route.State, r *route.Request, run Run) (best *route.State) {
 	minCost := 0.0
 	source := run.Engine
@@ -134,7 +134,7 @@
 }
 
 // hasCapacity reports whether an endpoint is known to have memory for a replica and can take one more
-// request if the answer continues there. One that is cold or names a limit may not be able to.
+// request if the answer continues there. One that is cold or names a limit might refuse that request.
 func hasCapacity(s *route.State, r *route.Request, run Run) bool {
 	if s.DigestAt.IsZero() || s.IsCold(r.Now) || s.IsLimited(r.Now) || s.Digest.WaitMillis > 0 || s.Calls.IsUnreachable(r.Now) || r.Now.Before(s.Calls.FullUntil) {
 		return false
--- a/copies/copies_test.go
+++ b/copies/copies_test.go
@@ -76,11 +76,11 @@
 // TestWants checks which requests get a replica, by the recent failures in the pool.
 func TestWants(t *testing.T) {
 	cases := []struct {
-		name   string
-		change func(s []*route.State)
-		policy Policy
-		again  bool
-		want   bool
+		name       string
+		change     func(s []*route.State)
+		policy     Policy
+		repeatable bool
+		want       bool
 	}{
 		{"all", func([]*route.State) {}, Policy{}, false, true},
 		{"all, a repeatable one", func([]*route.State) {}, Policy{}, true, false},
@@ -94,7 +94,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			_, states, r := fleet(t, "a", "a", "b", "b")
 			tc.change(states)
-			if got := tc.policy.Wants(Run{Repeatable: tc.again}, FailureRisk(states, states[0], r.Now)); got != tc.want {
+			if got := tc.policy.Wants(Run{Repeatable: tc.repeatable}, FailureRisk(states, states[0], r.Now)); got != tc.want {
 				t.Errorf("wants a replica: %v, want %v", got, tc.want)
 			}
 		})
--- a/copies/silence.go
+++ b/copies/silence.go
@@ -10,8 +10,8 @@
 	maxSilence    = 250 * time.Millisecond // any longer, and the replica expires before the request continues from it
 )
 
-// SilenceLimit returns how long an engine may send nothing before it is probed. pause is the longest expected
-// pause between two chunks: as observed in this answer, or by forecast.
+// SilenceLimit returns how long an engine may send nothing before it is probed. pause is the longest
+// expected pause between two chunks: as observed in this answer, or by forecast.
 func SilenceLimit(pause time.Duration) time.Duration {
 	return min(max(silenceFactor*pause, minSilence), maxSilence)
 }
