--- a/retry/budgets.go
+++ b/retry/budgets.go
@@ -1,5 +1,5 @@
-// Package retry decides how many retries are made for a request that failed or was refused, and when
-// its caller should try again.
+// Package retry decides whether a request that failed or was refused may be retried, and when its
+// caller should try again.
 //
 // Its types are safe for concurrent use, keep their state in memory and do no I/O.
 package retry
