--- a/queue/calls.go
+++ b/queue/calls.go
@@ -15,13 +15,13 @@
 	work         time.Duration
 	cachedTokens int
 	sentAt       time.Time
-	forecastEnd  time.Time // forecast of when the engine is through with it
+	forecastEnd  time.Time // forecast of when the engine reports its end
 	presumedDone bool      // counts as prefilled, though no end was reported
 }
 
-// Done records that the engine has prefilled a request in a given time, or was told to drop it. An
-// end that comes late or early shows when the engine will be through with what it was sent after
-// that request.
+// Done records that the engine has prefilled a request in a given time or, if finished is false, that
+// it dropped the request. The time of the end also corrects the forecast of when the engine will have
+// prefilled what was sent to it after that request.
 func (q *Queue) Done(now time.Time, a request.Attempt, finished bool, took time.Duration) {
 	c, ok := q.inFlight[a]
 	if !ok {
@@ -84,8 +84,8 @@
 // presumeDoneAfter is how long after its forecast end a request counts as prefilled.
 const presumeDoneAfter = 150 * time.Millisecond
 
-// CachedTokens returns how many tokens of a request in flight were expected to be cached, and whether
-// the request is known.
+// CachedTokens returns how many tokens of a request in flight were expected to be cached, and
+// whether the request is known.
 func (q *Queue) CachedTokens(a request.Attempt) (tokens int, known bool) {
 	c, known := q.inFlight[a]
 	if !known {
