--- a/ledger/growing_test.go
+++ b/ledger/growing_test.go
@@ -30,9 +30,9 @@
 // TestGrowing checks how many requests of a size that arrive at once a growing engine grants.
 func TestGrowing(t *testing.T) {
 	cases := []struct {
-		name          string
-		prompt, guess int
-		least, most   int // granted at once
+		name             string
+		prompt, estimate int
+		least, most      int // granted at once
 	}{
 		{"prompts of half the memory", 45_000, 100, 1, 1},
 		{"short answers: prompts fill it", 8_000, 300, 9, 11},
@@ -44,7 +44,7 @@
 			l := growingLedger(t)
 			n := 0
 			for ; n < 64; n++ {
-				if _, err := l.Reserve(at(0), growingArgs(n, tc.prompt, tc.guess, 0), evenWeights); err != nil {
+				if _, err := l.Reserve(at(0), growingArgs(n, tc.prompt, tc.estimate, 0), evenWeights); err != nil {
 					if err.RetryAfter <= 0 {
 						t.Error("no retry time")
 					}
@@ -64,13 +64,13 @@
 func TestGrowingHolds(t *testing.T) {
 	l := growingLedger(t)
 	r := rand.New(rand.NewPCG(7, 7))
-	type run struct{ prompt, guess, length, start int }
+	type run struct{ prompt, estimate, length, start int }
 	running := map[int]run{}
 	over, granted := 0, 0
 	for now := 0; now < 60_000; now += 50 {
 		for n, x := range running {
 			if now >= x.start+x.length {
-				l.Release(at(now), End{Attempt: attempt(n), Complete: true, Answer: x.length, Max: 10_880, Expected: x.guess})
+				l.Release(at(now), End{Attempt: attempt(n), Complete: true, Answer: x.length, Max: 10_880, Expected: x.estimate})
 				delete(running, n)
 			}
 		}
--- a/ledger/listed.go
+++ b/ledger/listed.go
@@ -10,7 +10,8 @@
 // The answer of an unknown request is assumed to be at most 1/foreignAnswerDivisor of its memory.
 const foreignAnswerDivisor = 4
 
-// ApplyList applies the engine's own list: what it holds counts, and what it no longer holds doesn't.
+// ApplyList applies the engine's own list of its requests. Requests that are listed get a row; rows of
+// requests that were listed before and no longer are get dropped.
 func (l *Ledger) ApplyList(now time.Time, list map[request.Attempt]endpoint.Running) {
 	for a, at := range l.ended {
 		if now.Sub(at) > endedKept {
--- a/ledger/rows.go
+++ b/ledger/rows.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// listedAttempt returns the attempt that stands for a request which the engine lists under another id
-// than the attempt's.
+// listedAttempt returns the attempt that stands for a request which the engine lists under another
+// id than the attempt's.
 func listedAttempt(idHash uint64) request.Attempt {
 	return request.Attempt{ID: request.ID{Counter: idHash}}
 }
@@ -85,8 +85,8 @@
 		if r.seen && !l.spec.GrowsMemory {
 			continue
 		}
-		ask := Request{Attempt: r.attempt, Team: r.team, Tokens: r.tokens - r.maxAnswer, MaxAnswer: r.maxAnswer, Expected: r.expected, IDHash: r.idHash}
-		out = append(out, Row{Request: ask, Start: r.start, TransferEnd: r.transferEnd, Lease: r.lease, Seen: r.seen})
+		req := Request{Attempt: r.attempt, Team: r.team, Tokens: r.tokens - r.maxAnswer, MaxAnswer: r.maxAnswer, Expected: r.expected, IDHash: r.idHash}
+		out = append(out, Row{Request: req, Start: r.start, TransferEnd: r.transferEnd, Lease: r.lease, Seen: r.seen})
 	}
 	return out
 }
@@ -100,8 +100,8 @@
 	l.rows[r.Request.Attempt].seen = r.Seen
 }
 
-// ForeignAttempt returns a stand-in for an attempt that embercove didn't send, recognizable by host 0. It
-// is never cancelled.
+// ForeignAttempt returns a stand-in for an attempt that embercove didn't send, recognizable by host
+// 0. It is never cancelled.
 func ForeignAttempt(id string) request.Attempt {
 	return request.Attempt{ID: request.ID{Counter: xxhash.Sum64String(id)}}
 }
--- a/ledger/steps.go
+++ b/ledger/steps.go
@@ -17,7 +17,7 @@
 const (
 	stepWindow      = 10.0                   // answers that the average covers
 	inheritedWeight = 3.0                    // answers that an inherited pace counts as
-	knownWeight     = 5.0                    // number of answers from which on lists, which are less exact, are not learned from
+	knownWeight     = 5.0                    // answers from which on lists are not learned from, as they are less exact
 	minStepTokens   = 256                    // fewest tokens of an answer to learn from
 	maxPaceFactor   = 100.0                  // bound on the factor between actual and configured step, in either direction
 	minListInterval = 300 * time.Millisecond // least time between lists that are compared
@@ -64,7 +64,7 @@
 		return
 	}
 	slices.Sort(g)
-	ratio := g[len(g)/2] / l.step().Seconds() // a request that still prefills there grows much faster
+	ratio := g[len(g)/2] / l.step().Seconds() // the median: a request that still prefills there grows much faster
 	if ratio < paceChangeRatio && ratio > 1/paceChangeRatio {
 		l.paceChangeSeen = 0
 		return
