--- a/pace/limit_test.go
+++ b/pace/limit_test.go
@@ -102,16 +102,16 @@
 // TestPromise checks that callers refused together get successive retry times, none before there is
 // a permit and none beyond maxRetryAfter.
 func TestPromise(t *testing.T) {
-	terms := LimitParams(5, 1)
+	params := LimitParams(5, 1)
 	var p Bucket
-	p.Acquire(epoch, terms, 0)
+	p.Acquire(epoch, params, 0)
 	last := time.Duration(0)
 	for i := range 100 {
-		in, granted := p.Acquire(epoch, terms, 0)
+		in, granted := p.Acquire(epoch, params, 0)
 		if granted {
 			t.Fatal("permit granted")
 		}
-		retryAfter := p.RetryAfter(epoch, terms)
+		retryAfter := p.RetryAfter(epoch, params)
 		if retryAfter < in || retryAfter > maxRetryAfter || i > 0 && retryAfter < maxRetryAfter && retryAfter-last < 199*time.Millisecond {
 			t.Fatalf("caller %d got retry time %v after %v, with a permit in %v", i, retryAfter, last, in)
 		}
--- a/pace/lone.go
+++ b/pace/lone.go
@@ -15,8 +15,8 @@
 	slotValidFor = time.Second
 )
 
-// IsolatedLimiter limits what a host sends to one endpoint while it can't reach the endpoint's owner. Send
-// slots come at times that differ from host to host and aren't saved up: otherwise, after a long
+// IsolatedLimiter limits what a host sends to one endpoint while it can't reach the endpoint's owner.
+// Send slots come at times that differ from host to host and aren't saved up: otherwise, after a long
 // partition, each of hundreds of hosts would have one ready at the same instant.
 type IsolatedLimiter struct {
 	Phase float64 // in [0, 1), random for each host
--- a/pace/lone_test.go
+++ b/pace/lone_test.go
@@ -11,16 +11,16 @@
 	for _, hosts := range []int{1, 8, 300} {
 		const limit = 5.7
 		var used []time.Duration
-		hostsAlone := make([]IsolatedLimiter, hosts)
-		for i := range hostsAlone {
-			hostsAlone[i].Phase = float64(i) / float64(hosts)
+		limiters := make([]IsolatedLimiter, hosts)
+		for i := range limiters {
+			limiters[i].Phase = float64(i) / float64(hosts)
 		}
 		for at := time.Duration(0); at < 10*time.Minute; at += 20 * time.Millisecond {
-			for i := range hostsAlone {
+			for i := range limiters {
 				if at > 2*time.Minute && at < 5*time.Minute {
 					continue // no requests
 				}
-				if _, ok := hostsAlone[i].Acquire(epoch.Add(at), limit, 1/float64(hosts)); ok {
+				if _, ok := limiters[i].Acquire(epoch.Add(at), limit, 1/float64(hosts)); ok {
 					used = append(used, at)
 				}
 			}
--- a/pace/pace.go
+++ b/pace/pace.go
@@ -25,7 +25,7 @@
 type Bucket struct {
 	level         float64      // permits available now; below 0: granted ahead
 	at            time.Time    // time of level
-	terms         BucketParams // of the last call
+	params        BucketParams // of the last call
 	promisedUntil time.Time    // until when future permits were announced to refused callers
 }
 
@@ -91,9 +91,9 @@
 	if p.at.IsZero() {
 		p.level, p.at = t.Burst, now
 	}
-	if t != p.terms {
+	if t != p.params {
 		p.level = max(p.level, -t.Rate)
-		p.terms = t
+		p.params = t
 	}
 	p.level = min(t.Burst, p.level+t.Rate*max(0, now.Sub(p.at).Seconds()))
 	p.at = now
--- a/pace/pace_test.go
+++ b/pace/pace_test.go
@@ -31,7 +31,7 @@
 }
 
 // TestBears checks that a host that has had the votes for a long time grants what a cold endpoint
-// can take, and that a refused caller is told the true time of the next permit.
+// can take, and that a refused caller gets the actual time of the next permit.
 func TestBears(t *testing.T) {
 	share := ColdBound(21, 1.5, 5)
 	var p Bucket
--- a/pace/vote.go
+++ b/pace/vote.go
@@ -15,8 +15,8 @@
 	// vote have been used.
 	Binding = Lease + MaxWait + Lag
 	// BindingCold is the binding time for an endpoint that may be cold. It is longer by the window
-	// over which the bound of cold endpoints is counted, as that bound has no room for two bursts
-	// within one window.
+	// over which the bound of cold endpoints is counted, as two bursts within one window would exceed
+	// that bound.
 	BindingCold = Binding + ColdWindow
 )
 
@@ -89,8 +89,8 @@
 // their votes for all votes, in each round until the answers arrive.
 func (r *GrantedVotes) BeginRound(voters int) { r.voters = voters }
 
-// AddVote records the vote of a host that was requested at a given time. voters is how many hosts may
-// vote as far as that host knows.
+// AddVote records the vote of a host, given in reply to a request made at the time asked. voters is
+// how many hosts may vote as far as that host knows.
 func (r *GrantedVotes) AddVote(host uint32, asked time.Time, voters int) {
 	if r.votes == nil {
 		r.votes = map[uint32]grantedVote{}
