--- a/quota/account.go
+++ b/quota/account.go
@@ -16,8 +16,8 @@
 // Reachability describes which failure domains and hosts a holder can reach.
 type Reachability struct {
 	Domains []string // the other failure domains, of all regions
-	// Part is the share of the own domain's hosts that is reachable, this host included: 1 if all
-	// are.
+	// HostShare is the share of the own domain's hosts that is reachable, this host included: 1 if
+	// all are.
 	HostShare float64
 	// Settled says that no other host can recently have held limits of this domain.
 	Settled bool
@@ -66,11 +66,11 @@
 	maxRetryAfter = 8 * time.Second
 )
 
-// other is what is known of another failure domain's holder.
-type other struct {
+// otherHolder is what is known of another failure domain's holder.
+type otherHolder struct {
 	report      Report
 	unreachable bool    // it has not answered since: it counts as unreachable
-	share       float64 // of all demand, when it became unreachable
+	share       float64 // of all reported demand, when it became unreachable
 	assumed     float64 // assumed to be admitted since its last report
 }
 
@@ -83,19 +83,19 @@
 	used          float64
 	admitted      meter
 	demand        meter
-	others        map[string]*other // by failure domain
-	promisedUntil time.Time         // until when future capacity was announced to refused callers
+	others        map[string]*otherHolder // by failure domain
+	promisedUntil time.Time               // until when future capacity was announced to refused callers
 
 	lastReport Report
 	reportedAt time.Time
 }
 
-// OpenAccount returns the account of a host that becomes the holder of a team's limit. The id must differ
-// for each account. Where no other host can have admitted anything, the account begins with the
-// full burst: with the small level of an unsettled one, requests within the limit would be refused
-// in the first seconds after all hosts have started.
+// OpenAccount returns the account of a host that becomes the holder of a team's limit. The id must
+// differ for each account. Where no other host can have admitted anything, the account begins with
+// the full burst: with the small level of an unsettled one, requests within the limit would be
+// refused in the first seconds after all hosts have started.
 func OpenAccount(now time.Time, id uint64, l Limit, r Reachability) *Account {
-	a := &Account{id: id, limit: l, at: now, others: map[string]*other{}}
+	a := &Account{id: id, limit: l, at: now, others: map[string]*otherHolder{}}
 	a.level = initialSeconds * a.accrual(now, r)
 	if r.Settled {
 		a.level = a.maxLevel(r)
--- a/quota/accounts.go
+++ b/quota/accounts.go
@@ -86,9 +86,9 @@
 }
 
 // isolatedAfter is how long a holder that reaches no other failure domain may get no requests from
-// other hosts of its own domain until it counts as cut off. If in fact all domains are cut off from
-// each other, either several hosts request units of a team more often than that, or this host's own
-// share is the whole.
+// other hosts of its own domain until it counts as cut off from those too. If in fact only the
+// domains are cut off from each other, either several hosts of the domain request units of the team
+// more often than that, or all its requests come to this host, whose own share is then the whole.
 const isolatedAfter = 500 * time.Millisecond
 
 // CutOff reports whether this host seems to be cut off from all others, also from those of its own
@@ -130,8 +130,8 @@
 	return due
 }
 
-// Observe applies a report of another failure domain's holder of a team, and returns this host's own
-// report.
+// Observe applies a report of another failure domain's holder of a team, and returns this host's
+// own report.
 func (s *Accounts) Observe(now time.Time, t Team, domain string, w Report, r Reachability) Report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -154,8 +154,8 @@
 	s.isolatedLimiter(team).ObserveAnswer(now, n, a)
 }
 
-// AdmitIsolated decides on a request of n units while no holder is reachable. even is this host's even
-// share of the fleet, 1/hosts.
+// AdmitIsolated reports whether a request of n units is admitted while no holder is reachable. even
+// is this host's even share of the fleet, 1/hosts.
 func (s *Accounts) AdmitIsolated(now time.Time, t Team, n, even float64) Answer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/quota/word.go
+++ b/quota/word.go
@@ -42,11 +42,11 @@
 	a.advance(now, r)
 	o := a.others[domain]
 	if o == nil {
-		o = new(other)
+		o = new(otherHolder)
 		a.others[domain] = o
 	}
-	// It is unknown when a new account began to count, so what was assumed of the
-	// previous one stays.
+	// It is unknown when a new account began to count, so what was assumed of the previous one
+	// stays.
 	if o.report.Holder == w.Holder {
 		unforeseen := w.Used - o.report.Used - o.assumed
 		a.level = max(min(a.level-unforeseen, a.maxLevel(r)), min(a.level, -maxDebtSeconds*a.limit.Rate))
