--- a/route/pick.go
+++ b/route/pick.go
@@ -13,8 +13,8 @@
 	Model            string
 	Tokens           int // of the prompt
 	MaxAnswer        int
-	Head             uint32
-	HasHead          bool
+	Head             uint32         // hash of the prompt's first block
+	HasHead          bool           // the prompt is long enough to have one
 	EntryDomain      int            // index of the entry host's failure domain
 	Region           config.Regions // region of the entry host
 	AllowedRegions   config.Regions // allowed regions; 0: all
--- a/route/state.go
+++ b/route/state.go
@@ -23,7 +23,7 @@
 
 // HeadDigest holds how many tokens an endpoint has cached of prompts that begin with a block.
 type HeadDigest struct {
-	Head   uint32
+	Head   uint32 // hash of the block
 	Tokens uint32
 }
 
@@ -49,7 +49,7 @@
 // this host's calls.
 type State struct {
 	Number           uint32
-	Domain           int            // index in the configuration's list
+	Domain           int            // index of its failure domain in the configuration's list
 	Region           config.Regions // as a set of one
 	Role             config.Role
 	Spec             *config.Endpoint
--- a/route/ways_test.go
+++ b/route/ways_test.go
@@ -101,12 +101,12 @@
 	v := oneDomain(t, modelEngines)
 	whole := runModel(v, sampleSizes{scanAll: 2 * modelEngines})
 	t.Logf("all: %+v", whole)
-	variants := []struct {
+	variants := []struct { // "standing" is the default
 		name    string
 		sizes   sampleSizes
 		bounded bool
 	}{
-		{"default", defaultSampling, true},
+		{"standing", defaultSampling, true},
 		{"few drawn", sampleSizes{scanAll: 128, inDomain: 4, anywhere: 2}, false},
 		{"many drawn", sampleSizes{scanAll: 128, inDomain: 200, anywhere: 50}, false},
 	}
