--- a/region/region.go
+++ b/region/region.go
@@ -24,7 +24,7 @@
 	Pool       uint32 // PoolNumber
 	Capacity   uint32 // requests of all other regions together that it would accept now
 	WaitMillis uint32 // until one of them begins; plain services: total time of a call
-	AgeMillis  uint32
+	AgeMillis  uint32 // at first half the age of the oldest digest that it sums up
 }
 
 // Age returns how old the summary was when it came.
--- a/region/region_test.go
+++ b/region/region_test.go
@@ -152,7 +152,7 @@
 // beyond what is reserved for its own.
 func TestOwnFirst(t *testing.T) {
 	if !AcceptsPrefill(100*ms) || AcceptsPrefill(maxPrefillQueue+ms) {
-		t.Error("prefill: accepted above maxPrefillQueue, or refused far below it")
+		t.Error("turns") // prefill slots: accepted above maxPrefillQueue, or refused far below it
 	}
 	free := DecodeCapacity{Free: 400, Memory: 1000, Slots: 5, TotalSlots: 10, Need: 300}
 	if !AcceptsDecode(free) {
