--- a/copies/copies.go
+++ b/copies/copies.go
@@ -81,7 +81,8 @@
 
 // FailureRisk returns the risk that a request loses its engine, between 0 and 1: the larger of the
 // engine's recent failure rate and the mean over the pool's endpoints. Endpoints that their owners
-// can't reach count as 1: an engine that goes down loses all its requests, and others often follow.
+// can't reach, or whose failure domain is cut off from this host, count as 1: an engine that goes down
+// loses all its requests, and others often follow.
 func FailureRisk(list []*route.State, engine *route.State, now time.Time) float64 {
 	if len(list) == 0 {
 		return 0
