--- a/queue/queue_test.go
+++ b/queue/queue_test.go
@@ -24,8 +24,8 @@
 func evenWeights(uint32) float64 { return 1 }
 
 // TestQueue checks sequences of admissions, each given as team, priority, work and slack. The
-// expected text names the admitted items in the order in which they are sent, then the refused and
-// the evicted ones.
+// expected text names the admitted items in the order in which they are sent ("called"), then the
+// refused and the evicted ones.
 func TestQueue(t *testing.T) {
 	cases := []struct {
 		name  string
