--- a/retry/budgets.go
+++ b/retry/budgets.go
@@ -15,7 +15,7 @@
 const (
 	initialRetries = 2.0
 	maxRetries     = 10.0
-	maxEntries     = 4096
+	maxEntries     = 4096 // teams and endpoints that are tracked; the budget of any other stays at initialRetries
 )
 
 // Budgets bounds retries. Each team and each endpoint may spend a share of its recent successes, so
