--- a/forecast/answers.go
+++ b/forecast/answers.go
@@ -19,27 +19,27 @@
 }
 
 // Learn records the length of a complete answer and how many tokens were requested.
-func (f *Answers) Learn(answer, asked int) {
-	if asked <= 0 || answer <= 0 {
+func (f *Answers) Learn(answer, requested int) {
+	if requested <= 0 || answer <= 0 {
 		return
 	}
-	bins := &f.counts[bits.Len32(uint32(asked))]
+	bins := &f.counts[bits.Len32(uint32(requested))]
 	for i := range bins {
 		bins[i] *= answerDecay
 	}
-	bins[min(answerBins-1, (answer-1)*answerBins/asked)]++
+	bins[min(answerBins-1, (answer-1)*answerBins/requested)]++
 }
 
 // Survival returns the probability that an answer is longer than length tokens.
-func (f *Answers) Survival(length float64, asked int) float64 {
-	if asked <= 0 || length >= float64(asked) {
+func (f *Answers) Survival(length float64, requested int) float64 {
+	if requested <= 0 || length >= float64(requested) {
 		return 0
 	}
 	if length <= 0 {
 		return 1
 	}
-	bins := &f.counts[bits.Len32(uint32(asked))]
-	pos := length / float64(asked) * answerBins
+	bins := &f.counts[bits.Len32(uint32(requested))]
+	pos := length / float64(requested) * answerBins
 	whole := int(pos)
 	all, above := 0.0, 0.0
 	for i, n := range bins {
@@ -56,16 +56,16 @@
 }
 
 // Expect returns the mean length of an answer, in tokens.
-func (f *Answers) Expect(asked int) int {
-	if asked <= 0 {
+func (f *Answers) Expect(requested int) int {
+	if requested <= 0 {
 		return 1
 	}
-	bins := &f.counts[bits.Len32(uint32(asked))]
+	bins := &f.counts[bits.Len32(uint32(requested))]
 	all, sum := 0.0, 0.0
 	for i, n := range bins {
 		n += priorAnswerWeight / answerBins
 		all += n
 		sum += n * (float64(i) + 0.5) / answerBins
 	}
-	return max(1, int(sum/all*float64(asked)))
+	return max(1, int(sum/all*float64(requested)))
 }
