--- a/ledger/rows.go
+++ b/ledger/rows.go
@@ -101,7 +101,7 @@
 }
 
 // ForeignAttempt returns a stand-in for an attempt that embercove didn't send, recognizable by host
-// 0. It is never cancelled.
+// 0. It is never canceled.
 func ForeignAttempt(id string) request.Attempt {
 	return request.Attempt{ID: request.ID{Counter: xxhash.Sum64String(id)}}
 }
