--- a/pace/order.go
+++ b/pace/order.go
@@ -23,7 +23,7 @@
 
 // Order decides who goes first when more permits are requested than are available. A requester that
 // may take permits from further ahead takes them before the others and isn't refused in their
-// favour. More urgent requesters may look further ahead, and so may teams that haven't used more
+// favor. More urgent requesters may look further ahead, and so may teams that haven't used more
 // than others. Some permits go to the first that asks, so that nobody starves while more urgent
 // requesters ask for all permits. The zero value has granted nothing.
 type Order struct {
--- a/pace/vote.go
+++ b/pace/vote.go
@@ -4,8 +4,8 @@
 
 // The host that grants the start permits of an endpoint collects votes from the hosts of the
 // endpoint's failure domain, and grants the share of the bound for which it has votes. Each host
-// gives its vote to one holder at a time. So two hosts that both take themselves for the owner stay
-// below the bound together, whatever they see of the others.
+// gives its vote to one holder at a time. So two hosts that both consider themselves the owner stay
+// below the bound together, whichever other hosts each of them can reach.
 
 const (
 	// Lease is how long a vote counts, from the time of the request for it. Votes are requested
@@ -89,13 +89,13 @@
 // their votes for all votes, in each round until the answers arrive.
 func (r *GrantedVotes) BeginRound(voters int) { r.voters = voters }
 
-// AddVote records the vote of a host, given in reply to a request made at the time asked. voters is
-// how many hosts may vote as far as that host knows.
-func (r *GrantedVotes) AddVote(host uint32, asked time.Time, voters int) {
+// AddVote records the vote of a host. requestedAt is when the vote was requested, and voters is how
+// many hosts may vote as far as that host knows.
+func (r *GrantedVotes) AddVote(host uint32, requestedAt time.Time, voters int) {
 	if r.votes == nil {
 		r.votes = map[uint32]grantedVote{}
 	}
-	r.votes[host] = grantedVote{asked.Add(Lease), voters}
+	r.votes[host] = grantedVote{requestedAt.Add(Lease), voters}
 }
 
 // Share returns the share of the voters whose votes are valid.
--- a/pace/vote_test.go
+++ b/pace/vote_test.go
@@ -100,9 +100,9 @@
 			case n < 20: // a round of votes; some answers are lost, some late
 				h.votes.BeginRound(len(voters))
 				for i, v := range voters {
-					asked := now.Add(-time.Duration(rapid.Int64Range(0, int64(150*time.Millisecond)).Draw(t, "under way")))
+					requestedAt := now.Add(-time.Duration(rapid.Int64Range(0, int64(150*time.Millisecond)).Draw(t, "under way")))
 					if rapid.Bool().Draw(t, "reached") && v.Grant(now, 7, true, h.Holder) {
-						h.votes.AddVote(uint32(i), asked, len(voters))
+						h.votes.AddVote(uint32(i), requestedAt, len(voters))
 					}
 				}
 			case n == 20: // a voter restarts
--- a/pace/ways_test.go
+++ b/pace/ways_test.go
@@ -144,7 +144,7 @@
 }
 
 // owner returns the host that a host asks for permits: the first of the endpoint's domain that it
-// doesn't consider gone. A host takes itself for the owner by the same rule.
+// doesn't consider gone. A host considers itself the owner by the same rule.
 func (f *fleet) owner(i int, at time.Duration) int {
 	for k, since := range f.hosts[i].unreachableSince {
 		if since == 0 || at-since < modelGoneAfter {
@@ -242,7 +242,7 @@
 		f.hosts = append(f.hosts, &modelHost{votes: NewVotes(epoch.Add(-time.Hour)), incarnation: 1, unreachableSince: make([]time.Duration, (hosts+modelDomains-1)/modelDomains)})
 	}
 	rng := rand.New(rand.NewPCG(1, 2))
-	owed := 0.0
+	servable := 0.0
 	for at := time.Duration(0); at < modelTime; at += modelStep {
 		if at%modelUpdate == 0 {
 			f.tick(at)
@@ -255,7 +255,7 @@
 			}
 		}
 		n := l.perSecond(at) * modelStep.Seconds()
-		owed += min(n, modelCapacity*modelStep.Seconds())
+		servable += min(n, modelCapacity*modelStep.Seconds())
 		for range int(n + rng.Float64()) {
 			i := rng.IntN(hosts)
 			late := time.Duration(rng.Int64N(int64(Lag)))
@@ -268,7 +268,7 @@
 		}
 	}
 	slices.Sort(f.used)
-	return f, maxPerSecond(f.used), float64(len(f.used)) / owed
+	return f, maxPerSecond(f.used), float64(len(f.used)) / servable
 }
 
 // TestWays checks that the implemented strategy stays below the bound and lets in what the endpoint
--- a/pace/word.go
+++ b/pace/word.go
@@ -107,8 +107,8 @@
 
 // DropIfRestarted drops all that is known if the endpoint's current process started later than the
 // process of the newest report.
-func (b *LimitState) DropIfRestarted(born int64) {
-	if born > b.report.Born && b.report.Born != 0 {
+func (b *LimitState) DropIfRestarted(started int64) {
+	if started > b.report.Born && b.report.Born != 0 {
 		*b = LimitState{}
 	}
 }
