--- a/quota/account.go
+++ b/quota/account.go
@@ -234,7 +234,7 @@
 
 // reachableShare returns the part of the limit that belongs to this failure domain and the
 // reachable ones: all but the shares that the unreachable domains had at their last report. Current
-// demand can't be used for this: each side of a partition would take itself for the larger one, and
+// demand can't be used for this: each side of a partition would consider itself the larger one, and
 // two domains on one side and one on the other admitted 1.67 of a limit together. Domains that have
 // never reported have an even share.
 func (a *Account) reachableShare(r Reachability) float64 {
--- a/quota/account_test.go
+++ b/quota/account_test.go
@@ -174,11 +174,11 @@
 	r := Reachability{HostShare: 1, Domains: []string{"b", "c"}}
 	team := Team{Number: 7, Limit: Limit{Rate: 100, Burst: 100}}
 	cases := []struct {
-		name        string
-		reported    []string // other domains that reported
-		unreachable []string // of these, unreachable later
-		asked       float64  // seconds since another host's request; 0: none
-		want        bool
+		name           string
+		reported       []string // other domains that reported
+		unreachable    []string // of these, unreachable later
+		peerRequestAge float64  // seconds since another host's request; 0: none
+		want           bool
 	}{
 		{"all is well", []string{"b", "c"}, nil, 0.1, false},
 		{"none ever reported", nil, nil, 0, false},
@@ -194,8 +194,8 @@
 			for _, d := range tc.reported {
 				s.Observe(epoch, team, d, Report{Holder: 9}, r)
 			}
-			if tc.asked > 0 {
-				s.NotePeerRequest(now.Add(-seconds(tc.asked)), team.Number)
+			if tc.peerRequestAge > 0 {
+				s.NotePeerRequest(now.Add(-seconds(tc.peerRequestAge)), team.Number)
 			}
 			for _, d := range tc.unreachable {
 				s.NoteUnreachable(now, team, d, r)
--- a/quota/lone.go
+++ b/quota/lone.go
@@ -19,8 +19,9 @@
 	// maxGrowth is how many times as much as before may be admitted if most of the limit was free.
 	// A host that had a small share by chance may need more.
 	maxGrowth = 2.5
-	// isolatedFullShare is the part of the limit that isolated hosts go by. For the seconds until
-	// the others notice that these hosts are gone, the others still admit the whole limit as well.
+	// isolatedFullShare is the part of the limit from which isolated hosts compute their rates. For
+	// the seconds until the others notice that these hosts are gone, the others still admit the
+	// whole limit as well.
 	// With a third of the hosts cut off and a team at 7.5 times its usual load, 1.02 of what a
 	// limit allows in eight seconds was admitted when this was 1, and 0.92 to 0.97 with this value.
 	isolatedFullShare = 0.6
