--- a/retry/budgets.go
+++ b/retry/budgets.go
@@ -1,5 +1,5 @@
-// Package retry decides how many retries are made for a request that failed or was refused, and when
-// its caller should try again.
+// Package retry decides whether a request that failed or was refused may be retried, and when its
+// caller should try again.
 //
 // Its types are safe for concurrent use, keep their state in memory and do no I/O.
 package retry
@@ -15,7 +15,7 @@
 const (
 	initialRetries = 2.0
 	maxRetries     = 10.0
-	maxEntries     = 4096
+	maxEntries     = 4096 // teams and endpoints that are tracked; the budget of any other stays at initialRetries
 )
 
 // Budgets bounds retries. Each team and each endpoint may spend a share of its recent successes, so
--- a/route/state.go
+++ b/route/state.go
@@ -1,7 +1,7 @@
 // Package route chooses the prefill and the decode engine of a request.
 //
-// Its functions work on a snapshot of endpoint states and a request: they do no I/O, take no
-// lock and read no clock. They only choose which endpoint to ask for. Whether the chosen endpoint takes the
+// Its functions work on a snapshot of endpoint states and a request: they do no I/O, take no lock
+// and read no clock. They only choose which endpoint to try. Whether the chosen endpoint takes the
 // request is decided by its owner, and finally by the endpoint itself.
 package route
 
@@ -23,7 +23,7 @@
 
 // HeadDigest holds how many tokens an endpoint has cached of prompts that begin with a block.
 type HeadDigest struct {
-	Head   uint32
+	Head   uint32 // hash of the block
 	Tokens uint32
 }
 
@@ -49,7 +49,7 @@
 // this host's calls.
 type State struct {
 	Number           uint32
-	Domain           int            // index in the configuration's list
+	Domain           int            // index of its failure domain in the configuration's list
 	Region           config.Regions // as a set of one
 	Role             config.Role
 	Spec             *config.Endpoint
@@ -74,7 +74,7 @@
 	Calls            CallStats
 }
 
-// Number returns the number that stands for an endpoint's name in messages.
+// Number returns the number that identifies an endpoint in messages. It is derived from the name.
 func Number(name string) uint32 { return config.NameNumber(name) }
 
 // IsLeaving reports whether the endpoint is leaving, by its registration, its owner's digest or its
@@ -104,7 +104,7 @@
 
 // CallStats sums up the outcomes of this host's own calls to an endpoint. Older calls count less.
 type CallStats struct {
-	FailedShare            float64   // decaying share of failed calls, as of At
+	FailedShare            float64   // decaying share of failed calls, as of LastCall
 	LastCall               time.Time // of the last call
 	UnreachableUntil       time.Time // until when it counts as unreachable
 	ConsecutiveUnreachable int       // consecutive calls that didn't reach it
--- a/route/ways_test.go
+++ b/route/ways_test.go
@@ -101,7 +101,7 @@
 	v := oneDomain(t, modelEngines)
 	whole := runModel(v, sampleSizes{scanAll: 2 * modelEngines})
 	t.Logf("all: %+v", whole)
-	variants := []struct {
+	variants := []struct { // "standing" is the default
 		name    string
 		sizes   sampleSizes
 		bounded bool
