--- a/endpoint/engine.go
+++ b/endpoint/engine.go
@@ -11,8 +11,8 @@
 
 // Engine speaks one protocol to model runners and plain services. Client implements
 // embercove's own; package platform implements another. An Engine makes no decisions: its
-// callers choose the endpoint and whether to call again. Errors are *CallError wherever a
-// request may be affected.
+// callers choose the endpoint and whether to call again. Errors are *CallError wherever
+// it matters whether a request may have run.
 type Engine interface {
 	// Traits returns what the protocol guarantees.
 	Traits() Traits
@@ -32,7 +32,7 @@
 	Discard(ctx context.Context, kv *Transfer) error
 	// CacheEvents reads the event feed from a sequence number on.
 	CacheEvents(ctx context.Context, addr string, after uint64) (*CacheEvents, error)
-	// Order orders the endpoint into a state.
+	// Order tells the endpoint which state to take.
 	Order(ctx context.Context, addr string, o Order) error
 	// CloseIdle closes idle connections.
 	CloseIdle()
--- a/endpoint/error.go
+++ b/endpoint/error.go
@@ -79,8 +79,8 @@
 	return errors.As(err, &ce) && ce.Status == 0 && !ce.MayHaveRun
 }
 
-// ConnectTimedOut reports whether err means that an attempt to connect timed out. An address whose
-// process is gone refuses connections instead.
+// ConnectTimedOut reports whether err means that an attempt to connect timed out. An address
+// whose process is gone refuses connections instead.
 func ConnectTimedOut(err error) bool {
 	var timeout net.Error
 	return Unreachable(err) && errors.As(err, &timeout) && timeout.Timeout()
--- a/endpoint/limit.go
+++ b/endpoint/limit.go
@@ -7,7 +7,7 @@
 )
 
 // RateLimit is the limit in the head of an answer: how many requests per second the
-// endpoint takes from all hosts together. The zero value means that it names none.
+// endpoint accepts from all hosts together. The zero value means that it names none.
 type RateLimit struct {
 	Named      bool
 	PerSecond  float64 // requests
--- a/endpoint/limit_test.go
+++ b/endpoint/limit_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// TestReadLimit parses valid limits, and values that are none.
+// TestReadLimit parses valid and invalid limits, and no limit.
 func TestReadLimit(t *testing.T) {
 	for _, tc := range []struct {
 		values []string
--- a/endpoint/notice.go
+++ b/endpoint/notice.go
@@ -31,12 +31,12 @@
 		return
 	}
 	for _, v := range h.Values("Retry-After") {
-		rest, ok := parseBackoff(strings.TrimSpace(v), h.Get("Date"))
+		backoff, ok := parseBackoff(strings.TrimSpace(v), h.Get("Date"))
 		if !ok {
 			n.UnreadableBackoff = strconv.Quote(v)
 			continue
 		}
-		n.Backoff = max(n.Backoff, rest)
+		n.Backoff = max(n.Backoff, backoff)
 	}
 }
 
--- a/endpoint/notice_test.go
+++ b/endpoint/notice_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// TestReadRest parses valid backoffs, and values that are none.
+// TestReadRest parses valid and invalid backoffs, and answers that ask for none.
 func TestReadRest(t *testing.T) {
 	const noon = "Thu, 03 Dec 2026 12:00:00 GMT"
 	for _, tc := range []struct {
@@ -14,7 +14,7 @@
 		status     int
 		values     []string
 		date       string
-		rest       time.Duration
+		backoff    time.Duration
 		unreadable string
 	}{
 		{"none", 503, nil, "", 0, ""},
@@ -45,8 +45,8 @@
 			}
 			var n Notice
 			n.ParseBackoff(tc.status, h)
-			if n.Backoff != tc.rest || n.UnreadableBackoff != tc.unreadable {
-				t.Errorf("%v, unreadable %q; want %v, unreadable %q", n.Backoff, n.UnreadableBackoff, tc.rest, tc.unreadable)
+			if n.Backoff != tc.backoff || n.UnreadableBackoff != tc.unreadable {
+				t.Errorf("%v, unreadable %q; want %v, unreadable %q", n.Backoff, n.UnreadableBackoff, tc.backoff, tc.unreadable)
 			}
 		})
 	}
--- a/endpoint/wire.go
+++ b/endpoint/wire.go
@@ -109,8 +109,8 @@
 	FinishReason string `json:"finish_reason,omitempty"`
 }
 
-// Chunk is one event of a decode stream. A chunk with Imported set reports
-// the progress of a transfer and carries no text.
+// Chunk is one event of a decode stream. A chunk with Imported set reports the progress of
+// a transfer and has no text.
 type Chunk struct {
 	ID       string   `json:"id"`
 	Offset   int      `json:"offset"` // number of the first token of the chunk
@@ -130,7 +130,7 @@
 	NotRun bool   `json:"not_run"` // the endpoint vouches that nothing ran
 }
 
-// State is an endpoint's own report of its load. It lags behind.
+// State is an endpoint's own report of its load. It lags behind the actual load.
 type State struct {
 	Engine       string   `json:"engine"`
 	Incarnation  uint64   `json:"incarnation"`
@@ -186,7 +186,7 @@
 	Events []CacheEvent `json:"events"`
 }
 
-// Order orders an endpoint into a state. Repeating it is safe. An endpoint that checks
+// Order tells an endpoint which role, model, version and adapters to take. Repeating it is safe. An endpoint that checks
 // fences refuses an order that is older than the last one it applied.
 type Order struct {
 	Fence    uint64   `json:"fence"`
