--- a/report/outcome.go
+++ b/report/outcome.go
@@ -20,7 +20,7 @@
 	Tokens      int           // sent to the caller
 	Prefilled   int           // prompt tokens that engines prefilled for it
 	Wasted      int           // prompt tokens among them that led to no answer
-	Tries       int           // passes from reservation on
+	Tries       int           // passes through reservation, prefill and decode
 	Attempts    int           // calls that may have run at endpoints
 	Service     bool          // a call to a plain service
 }
@@ -30,7 +30,7 @@
 
 // The verdicts.
 const (
-	Excluded Verdict = iota // caused by the caller
+	Excluded Verdict = iota // caused by the caller, so not counted for the objective
 	Good                    // answered within both targets
 	Late                    // answered outside a target
 	Bad                     // refused, broken or unknown
--- a/report/recorder.go
+++ b/report/recorder.go
@@ -14,7 +14,7 @@
 // callers can't use up the memory. Further ones are counted together.
 const maxRows = 1024
 
-// otherRow counts the names beyond maxRows.
+// otherRow is the name under which the teams or models beyond maxRows are counted.
 const otherRow = "(other)"
 
 // Recorder counts the outcomes of one host. It is safe for concurrent use.
@@ -63,7 +63,7 @@
 	r.targets = t
 }
 
-// Record counts an outcome.
+// Record counts an outcome and returns its verdict.
 func (r *Recorder) Record(o Outcome, now time.Time) Verdict {
 	r.mu.Lock()
 	defer r.mu.Unlock()
