--- a/tool/evacuations.go
+++ b/tool/evacuations.go
@@ -19,8 +19,8 @@
 	running          int     // calls of these hosts that still run there
 }
 
-// printEvacuations prints the failure domains that are being evacuated. A domain can be taken down
-// once all hosts know of the evacuation and nothing runs there any more.
+// printEvacuations prints the failure domains that are being evacuated. A domain can be
+// taken down once all hosts know of the evacuation and nothing runs there any more.
 func (t *tool) printEvacuations(statuses map[string]node.Status) {
 	byDomain := map[string]*evacuation{}
 	for _, s := range statuses {
--- a/tool/suspects.go
+++ b/tool/suspects.go
@@ -14,8 +14,8 @@
 	"github.com/embercove/embercove/request"
 )
 
-// suspects lists the requests during which endpoints crashed, or clears one of them at the first
-// host that answers. That host informs all others.
+// suspects lists the requests during which endpoints crashed, or clears one of them at the
+// first host that answers. That host informs all others.
 func (t *tool) suspects(fs *flag.FlagSet, args []string) error {
 	admin, asJSON := adminFlag(fs)
 	clear := fs.String("clear", "", "fingerprint of a request to clear")
--- a/tool/suspects_test.go
+++ b/tool/suspects_test.go
@@ -11,8 +11,8 @@
 	"github.com/embercove/embercove/request"
 )
 
-// TestSuspects lists and clears requests at a stand-in for a host's admin interface, and checks the
-// output and exit codes, also for a refused clear and wrong usage.
+// TestSuspects lists and clears requests at a stand-in for a host's admin interface, and
+// checks the output and exit codes, also for a refused clear and wrong usage.
 func TestSuspects(t *testing.T) {
 	f := request.FingerprintOf("t", "h", "POST", "/x", nil).String()
 	var cleared string
--- a/tool/tool.go
+++ b/tool/tool.go
@@ -40,7 +40,7 @@
 // errFailed ends a command with ExitFailed. The command has already printed the reason.
 var errFailed = errors.New("")
 
-// errNoReply ends a command with ExitNoReach.
+// errNoReply ends a command with ExitNoHost.
 var errNoReply = errors.New("no host answered")
 
 // usageError ends a command with ExitUsage.
