--- a/load/judge.go
+++ b/load/judge.go
@@ -39,8 +39,8 @@
 	return out
 }
 
-// ranBeforeRefusal reports whether a refused request ran. A request with an idempotency key may
-// have been sent again since, so only its runs up to the refusal count.
+// ranBeforeRefusal reports whether a refused request ran. A request with an idempotency
+// key may have been sent again since, so only its runs up to the refusal count.
 func ranBeforeRefusal(r Result, records []fake.Record, hash uint64) bool {
 	for _, rec := range records {
 		if rec.Prompt == hash && rec.Ran && (r.Key == "" || rec.StartedMS <= r.Ended.UnixMilli()) {
--- a/load/report.go
+++ b/load/report.go
@@ -112,8 +112,8 @@
 	return report.Quantiles{P50: at(50), P95: at(95), P99: at(99)}
 }
 
-// computeWaste sums up the prefill work and the part of it whose result was never imported by a
-// decode engine.
+// computeWaste sums up the prefill work and the part of it whose result was never
+// imported by a decode engine.
 func computeWaste(results []Result, records []fake.Record) Waste {
 	left := map[uint64]bool{}
 	for _, r := range results {
