--- a/trial/cluster.go
+++ b/trial/cluster.go
@@ -125,8 +125,8 @@
 // readyTimeout bounds the wait for hosts to become ready.
 const readyTimeout = 10 * time.Second
 
-// waitReady waits until every host has the configuration and has heard from every
-// other host.
+// waitReady waits until every host has the configuration and knows the incarnation of
+// every other host.
 func (c *Cluster) waitReady() error {
 	deadline := time.Now().Add(readyTimeout)
 	for time.Now().Before(deadline) {
--- a/trial/endpoints.go
+++ b/trial/endpoints.go
@@ -44,8 +44,8 @@
 	return nil
 }
 
-// deferredHandler serves a listener whose handler is set later: a runner can be created only
-// once the address of its listener is known.
+// deferredHandler serves a listener whose handler is set later: a runner can be created
+// only once the address of its listener is known.
 type deferredHandler struct{ handler http.Handler }
 
 func (l *deferredHandler) ServeHTTP(w http.ResponseWriter, q *http.Request) {
--- a/trial/hosts.go
+++ b/trial/hosts.go
@@ -56,8 +56,8 @@
 	return s
 }
 
-// reservePorts finds free loopback ports for every host. All stay open until the last is found,
-// so that none is found twice.
+// reservePorts finds free loopback ports for every host. All stay open until the last is
+// found, so that none is found twice.
 func (c *Cluster) reservePorts() error {
 	var listeners []net.Listener
 	defer func() {
