--- a/slope/latency.go
+++ b/slope/latency.go
@@ -22,8 +22,8 @@
 	AddedP95       time.Duration // 95th percentile of the differences
 }
 
-// MeasureLatency sends pairs of short requests of equal length, one directly and one through an
-// entry host, on an idle deployment.
+// MeasureLatency sends pairs of short requests on an idle deployment: one directly to
+// the stand-ins and one, longer by one byte, through an entry host.
 func MeasureLatency(pairs int) (Latency, error) {
 	c, err := trial.Start(trial.Options{Document: examples.Domaskra, Hosts: 3, Change: func(d *config.Document) {
 		for i := range d.Endpoints {
--- a/slope/slope.go
+++ b/slope/slope.go
@@ -38,8 +38,9 @@
 // exchangeCount is the number of exchanges that a measurement averages over.
 const exchangeCount = 200
 
-// MeasureExchange measures exchanges between two hosts in a failure domain of hosts
-// hosts and a region of endpoints endpoints. All digests change before each exchange.
+// MeasureExchange measures exchanges between two hosts, in a failure domain with the
+// given number of hosts and a region with the given number of endpoints. All digests
+// change before each exchange.
 func MeasureExchange(hosts, endpoints int) (Exchange, error) {
 	out := Exchange{Hosts: hosts, Endpoints: endpoints}
 	v, err := syntheticView(endpoints)
@@ -143,7 +144,7 @@
 	PollBytes  float64 // per second and owned endpoint
 	Polls      float64 // per second and owned endpoint
 	Idle       float64 // bytes per second to and from peers, without requests
-	CPUSeconds float64 // CPU seconds per request, including relaying of the answer
+	CPUSeconds float64 // per request, including relaying of the answer
 }
 
 // MeasureRequests runs a deployment of typical size on loopback, first idle and
