--- a/entry/answer.go
+++ b/entry/answer.go
@@ -173,8 +173,8 @@
 }
 
 // times implements replyWriter.
-func (a *answer) times(came time.Time) (ttft, tpot time.Duration) {
-	return chunkTimes(came, a.first, a.last, a.sent)
+func (a *answer) times(arrived time.Time) (ttft, tpot time.Duration) {
+	return chunkTimes(arrived, a.first, a.last, a.sent)
 }
 
 // Problem is the body of every refusal and error.
--- a/entry/ends.go
+++ b/entry/ends.go
@@ -212,11 +212,11 @@
 // isLeaving reports whether an endpoint is about to stop as planned: it is leaving, it is
 // being evacuated, or its registration was withdrawn.
 func (e *Entry) isLeaving(spec *config.Endpoint) bool {
-	leaves := true
+	leaving := true
 	e.board.Endpoints.Find(route.Number(spec.Name), func(_ *config.View, s *route.State) {
-		leaves = s.IsLeaving() || s.Evacuated
+		leaving = s.IsLeaving() || s.Evacuated
 	})
-	return leaves
+	return leaving
 }
 
 // recordCrash records that an endpoint crashed under some runs.
--- a/entry/leaving_test.go
+++ b/entry/leaving_test.go
@@ -101,9 +101,9 @@
 
 func (s *leavingScene) Enqueue(ctx context.Context, spec *config.Endpoint, a owner.EnqueueArgs) (owner.EnqueueReply, error) {
 	s.leaveNow(atEnqueue, spec.Name)
-	if turned := s.onEnqueue; turned != nil {
+	if onEnqueue := s.onEnqueue; onEnqueue != nil {
 		s.onEnqueue = nil
-		turned()
+		onEnqueue()
 	}
 	if s.ownersAhead && s.hasLeft[spec.Name] {
 		return owner.EnqueueReply{Code: result.Evacuated, Retry: 2000}, nil
@@ -122,9 +122,9 @@
 func (s *leavingScene) Prefill(_ context.Context, c endpoint.Call, _ *endpoint.Work) (*endpoint.PrefillAnswer, error) {
 	s.recordCall("prefill at", c.Name)
 	for i := len(s.callOrder) - 1; i >= 0; i-- {
-		var dec string
-		if n, _ := fmt.Sscanf(s.callOrder[i], "reserve %s", &dec); n == 1 {
-			s.leaveNow(atPrefill, dec)
+		var decodeName string
+		if n, _ := fmt.Sscanf(s.callOrder[i], "reserve %s", &decodeName); n == 1 {
+			s.leaveNow(atPrefill, decodeName)
 			break
 		}
 	}
--- a/entry/place_test.go
+++ b/entry/place_test.go
@@ -34,12 +34,12 @@
 	calls        []string
 }
 
-func (s *stubOwners) note(format string, args ...any) {
+func (s *stubOwners) record(format string, args ...any) {
 	s.calls = append(s.calls, fmt.Sprintf(format, args...))
 }
 
 func (s *stubOwners) Reserve(context.Context, *config.Endpoint, owner.ReserveArgs) (owner.ReserveReply, error) {
-	s.note("reserve")
+	s.record("reserve")
 	code := result.OK
 	if len(s.reserveCodes) > 0 {
 		code, s.reserveCodes = s.reserveCodes[0], s.reserveCodes[1:]
@@ -48,7 +48,7 @@
 }
 
 func (s *stubOwners) Enqueue(_ context.Context, _ *config.Endpoint, a owner.EnqueueArgs) (owner.EnqueueReply, error) {
-	s.note("slot in %d", a.NotYet)
+	s.record("slot in %d", a.NotYet)
 	code := result.OK
 	if len(s.enqueueCodes) > 0 {
 		code, s.enqueueCodes = s.enqueueCodes[0], s.enqueueCodes[1:]
@@ -59,7 +59,7 @@
 }
 
 func (s *stubOwners) Release(spec *config.Endpoint, r owner.Release) {
-	s.note("%s released", spec.Role)
+	s.record("%s released", spec.Role)
 }
 
 func (s *stubOwners) FindCached(context.Context, []*config.Endpoint, uint32, int) (*config.Endpoint, int) {
--- a/entry/reply.go
+++ b/entry/reply.go
@@ -29,7 +29,7 @@
 	// it for complete; fail then doesn't return.
 	fail(err *result.Error)
 	// times returns the time to the first chunk and the time per further one.
-	times(came time.Time) (first, each time.Duration)
+	times(arrived time.Time) (first, each time.Duration)
 }
 
 // passthrough forwards an endpoint's answer as it arrives: head and bytes verbatim, chunk
@@ -99,17 +99,17 @@
 	p.refuse(p.w, err)
 }
 
-func (p *passthrough) times(came time.Time) (first, each time.Duration) {
-	return chunkTimes(came, p.first, p.last, p.sent)
+func (p *passthrough) times(arrived time.Time) (first, each time.Duration) {
+	return chunkTimes(arrived, p.first, p.last, p.sent)
 }
 
 // chunkTimes returns the time to the first of n chunks and the time per further one.
-func chunkTimes(came, first, last time.Time, n int) (ttft, each time.Duration) {
+func chunkTimes(arrived, first, last time.Time, n int) (ttft, each time.Duration) {
 	if first.IsZero() {
 		return 0, 0
 	}
 	if n > 1 {
 		each = last.Sub(first) / time.Duration(n-1)
 	}
-	return first.Sub(came), each
+	return first.Sub(arrived), each
 }
--- a/entry/reserve.go
+++ b/entry/reserve.go
@@ -42,8 +42,8 @@
 			return refusal
 		}
 		e.logRefused(j, p.decodeSpec, string(blackboard.PhaseReserve), refusal, c.DigestAge)
-		if lack := placementRefusal(refusal, last); last == nil || lack.RetryAfter < last.RetryAfter {
-			last = lack
+		if reported := placementRefusal(refusal, last); last == nil || reported.RetryAfter < last.RetryAfter {
+			last = reported
 		}
 		j.criteria.AddExcluded(route.Number(p.decodeSpec.Name))
 		if refusal.Code == result.Evacuated {
--- a/entry/start_test.go
+++ b/entry/start_test.go
@@ -56,7 +56,7 @@
 // permit is used neither before nor after it is valid, and that a request goes elsewhere,
 // or is refused as not run, if there is none.
 func TestStarts(t *testing.T) {
-	const whole = "permit at p, prefill at p, permit at d, decode at d"
+	const withPermits = "permit at p, prefill at p, permit at d, decode at d"
 	none := peer.Permit{Delay: 700 * time.Millisecond}
 	for _, tc := range []struct {
 		name   string
@@ -67,13 +67,13 @@
 		code   result.Code
 	}{
 		{name: "warm", warm: true, want: "prefill at p, decode at d"},
-		{name: "granted at once", want: whole},
-		{name: "granted for later", script: []peer.Permit{{Granted: true, Delay: 300 * time.Millisecond}}, want: whole},
-		{name: "expired before use", script: []peer.Permit{{Granted: true, ExpiresAt: time.Unix(0, 1)}}, want: "permit at p, " + whole},
-		{name: "none at the first prefill engine", script: []peer.Permit{none}, want: "permit at p, " + whole},
+		{name: "granted at once", want: withPermits},
+		{name: "granted for later", script: []peer.Permit{{Granted: true, Delay: 300 * time.Millisecond}}, want: withPermits},
+		{name: "expired before use", script: []peer.Permit{{Granted: true, ExpiresAt: time.Unix(0, 1)}}, want: "permit at p, " + withPermits},
+		{name: "none at the first prefill engine", script: []peer.Permit{none}, want: "permit at p, " + withPermits},
 		{name: "none at the first decode engine", script: []peer.Permit{{Granted: true}, none},
 			want: "permit at p, prefill at p, permit at d, permit at d, decode at d"},
-		{name: "a full engine is called again", full: 1, want: whole + ", permit at d, decode at d"},
+		{name: "a full engine is called again", full: 1, want: withPermits + ", permit at d, decode at d"},
 		{name: "none at all", script: []peer.Permit{none, none}, want: "permit at p, permit at p", code: result.Cold},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
