--- a/endpoint/wire.go
+++ b/endpoint/wire.go
@@ -186,8 +186,9 @@
 	Events []CacheEvent `json:"events"`
 }
 
-// Order tells an endpoint which role, model, version and adapters to take. Repeating it is safe. An endpoint that checks
-// fences refuses an order that is older than the last one it applied.
+// Order tells an endpoint which role, model, version and adapters to take. Repeating it is
+// safe. An endpoint that checks fences refuses an order that is older than the last one it
+// applied.
 type Order struct {
 	Fence    uint64   `json:"fence"`
 	Role     string   `json:"role"`
