--- a/trace/tell.go
+++ b/trace/tell.go
@@ -13,7 +13,7 @@
 // host, so its clock alone determines their order.
 func buildStory(lines []Line) Story {
 	sort.SliceStable(lines, func(i, j int) bool { return lines[i].Time < lines[j].Time })
-	s := Story{ID: lines[0].ID, CallerID: lines[0].CallerID, Host: lines[0].Host, Cause: "no final log line: the host may have died, or the line was left out"}
+	s := Story{ID: lines[0].ID, CallerID: lines[0].CallerID, Host: lines[0].Host, Cause: "no final log line: the host may have crashed, or the line was dropped"}
 	arrival := lines[0].Time - lines[0].Took
 	for _, l := range lines {
 		if l.Message == msgRequest {
