--- a/request/id.go
+++ b/request/id.go
@@ -52,7 +52,8 @@
 	return ID{Host: uint32(host), Incarnation: inc, Counter: n}, nil
 }
 
-// Attempt is one try at a request. Its number tells late answers of earlier attempts apart.
+// Attempt identifies one use of an endpoint by a request, such as a reservation and the call
+// that uses it. Its number tells late answers of earlier attempts apart.
 type Attempt struct {
 	ID     ID
 	Number uint32
