--- a/entry/answer.go
+++ b/entry/answer.go
@@ -24,7 +24,7 @@
 	model        string
 	chat         bool
 	stream       bool
-	promptTokens int // in tokens
+	promptTokens int // for the usage report at the end of the answer
 
 	sent   int // tokens relayed or collected
 	opened bool
--- a/entry/copy.go
+++ b/entry/copy.go
@@ -157,7 +157,7 @@
 // engine.
 func (e *Entry) canResume(ctx context.Context, j *job, p *plan, err error) bool {
 	end := copies.End{Replicated: p.replica != nil, CallerGone: ctx.Err() != nil, MayHaveRun: endpoint.MayHaveRun(err), MayStillRun: endpoint.Abandoned(err), DecodeTime: j.answerAge()}
-	return end.CanContinue() && j.crashCount < maxCrashesPerAttempt && e.canSendTo(ctx, j, p.replica.spec) && e.ineligibleReason(j, p.replica.spec) == route.ReasonNone && e.retryBudgets.SpendInWindow(j.pool, time.Now(), 1) &&
+	return end.CanContinue() && j.crashCount < maxCrashesPerJob && e.canSendTo(ctx, j, p.replica.spec) && e.ineligibleReason(j, p.replica.spec) == route.ReasonNone && e.retryBudgets.SpendInWindow(j.pool, time.Now(), 1) &&
 		e.acquirePermit(ctx, j, p.replica.spec) == nil
 }
 
--- a/entry/ends.go
+++ b/entry/ends.go
@@ -53,7 +53,7 @@
 }
 
 // endBrokenRun starts the crash check for the endpoint of a call that broke off. A request
-// that may be repeated waits for the first result.
+// that may be repeated waits for the first result: a crash counts against its further tries.
 func (e *Entry) endBrokenRun(ctx context.Context, j *job, r engineRun) {
 	check := e.crashes.track(r, j.probeHolder())
 	if !j.repeatable {
@@ -78,7 +78,7 @@
 type crashCheck struct {
 	proc       process
 	spec       *config.Endpoint
-	planned    bool          // it was leaving
+	planned    bool          // it was leaving when the first call broke off
 	since      time.Time     // when the first call broke off
 	firstCheck chan struct{} // closed after the first check
 
--- a/entry/job.go
+++ b/entry/job.go
@@ -47,7 +47,7 @@
 	probing        bool             // it holds a probe, as endpoints crashed under the same request
 	settled        bool             // its answer has progressed far enough in that probe
 	probeWaited    time.Duration    // time it waited for probes: it may be late by this much, but isn't refused for it
-	crashCount     int              // endpoints that crashed as they ran it, in this attempt
+	crashCount     int              // endpoints that crashed as they ran it
 	wastedTokens   int              // prefilled tokens that led to no answer, so far
 	prefilledTotal int              // tokens prefilled in all
 	attempts       int              // calls that may have run at an endpoint
--- a/entry/relay.go
+++ b/entry/relay.go
@@ -153,7 +153,7 @@
 			continue
 		}
 		if c.Offset > j.reply.chunks() {
-			return brokenAnswer(p, "pieces are missing")
+			return brokenAnswer(p, "chunks are missing")
 		}
 		if j.reply.chunks() == 0 {
 			j.markPhase(3)
@@ -168,7 +168,7 @@
 			e.settleProbe(j)
 		}
 		inv := e.board.Invariant
-		inv.Check(c.Offset == j.reply.chunks(), invariant.TokenOnce, "request %s: piece %d after %d", j.id, c.Offset, j.reply.chunks())
+		inv.Check(c.Offset == j.reply.chunks(), invariant.TokenOnce, "request %s: chunk at offset %d after %d", j.id, c.Offset, j.reply.chunks())
 		inv.Check(c.ID == p.decodeAttempt.String(), invariant.OwnAnswer, "request %s: chunk of %s in attempt %s", j.id, c.ID, p.decodeAttempt)
 		j.reply.sendHead(s.Head())
 		if err := j.reply.sendChunk(c); err != nil {
--- a/entry/run.go
+++ b/entry/run.go
@@ -85,7 +85,7 @@
 		return r.refusal
 	case r.mayHaveRun && !j.repeatable:
 		return result.Errorf(result.OutcomeUnknown, "%s", r.refusal.Detail)
-	case j.crashCount >= maxCrashesPerAttempt:
+	case j.crashCount >= maxCrashesPerJob:
 		return r.refusal
 	case j.tries >= j.view.Doc.Limits.MaxAttempts, r.mayHaveRun && j.attempts >= j.maxAttempts():
 		return r.refusal
--- a/entry/suspect.go
+++ b/entry/suspect.go
@@ -31,11 +31,11 @@
 	// to probePollMax, as hundreds may wait for the same one.
 	probePollStart = 50 * time.Millisecond
 	probePollMax   = 400 * time.Millisecond
-	// maxCrashesPerAttempt is how many endpoints may crash under one attempt of a caller. A
+	// maxCrashesPerJob is how many endpoints may crash under one job. After the first crash a
 	// request is sent to one further endpoint, as most requests in progress at a crash are
 	// innocent. One that was in progress at two crashes waits until its caller sends it
 	// again.
-	maxCrashesPerAttempt = 2
+	maxCrashesPerJob = 2
 )
 
 // acquireProbe returns nil if a request may be sent to some endpoint. A suspected request,
--- a/entry/write.go
+++ b/entry/write.go
@@ -93,7 +93,7 @@
 		case errors.As(err, &stalled):
 			e.moveDecode(ctx, j, p, owner.Failed, countStall(p))
 		default:
-			if !j.repeatable || j.attempts >= j.maxAttempts() || j.crashCount >= maxCrashesPerAttempt {
+			if !j.repeatable || j.attempts >= j.maxAttempts() || j.crashCount >= maxCrashesPerJob {
 				e.discardResult(j, p, kv)
 				return e.callFailure(p.decodeSpec, err)
 			}
