--- a/entry/homes_test.go
+++ b/entry/homes_test.go
@@ -17,9 +17,9 @@
 	"github.com/embercove/embercove/result"
 )
 
-// homesDocument restricts a route and a team to regions. Domain a is in region r, as is the
+// twoRegionDocument restricts a route and a team to regions. Domain a is in region r, as is the
 // host, and b in s.
-const homesDocument = `{"failure_domains": [{"name": "a", "region": "r", "link_bytes_per_second": 1000000000}, {"name": "b", "region": "s", "link_bytes_per_second": 1000000000}],
+const twoRegionDocument = `{"failure_domains": [{"name": "a", "region": "r", "link_bytes_per_second": 1000000000}, {"name": "b", "region": "s", "link_bytes_per_second": 1000000000}],
 	"targets": {"ttft_ms": 900, "tpot_ms": 10}, "models": [{"name": "m", "version": "1", "max_tokens": 10000, "kv_bytes_per_token": 1000}],
 	"pools": [{"name": "p", "memory_tokens": 50000, "slots": 10, "link_bytes_per_second": 1000000000}],
 	"teams": [{"name": "t", "regions": [%[2]s]}],
@@ -38,7 +38,7 @@
 
 // offerDocument publishes a document with other regions.
 func (s *leavingScene) offerDocument(revision uint64, routeRegions, teamRegions string) {
-	if _, err := s.board.Config.Offer(revision, fmt.Appendf(nil, homesDocument, routeRegions, teamRegions)); err != nil {
+	if _, err := s.board.Config.Offer(revision, fmt.Appendf(nil, twoRegionDocument, routeRegions, teamRegions)); err != nil {
 		s.t.Fatal(err)
 	}
 	s.board.Endpoints.ApplyView(s.board.Config.View())
