--- a/entry/answer.go
+++ b/entry/answer.go
@@ -24,7 +24,7 @@
 	model        string
 	chat         bool
 	stream       bool
-	promptTokens int // in tokens
+	promptTokens int // for the usage report at the end of the answer
 
 	sent   int // tokens relayed or collected
 	opened bool
@@ -173,8 +173,8 @@
 }
 
 // times implements replyWriter.
-func (a *answer) times(came time.Time) (ttft, tpot time.Duration) {
-	return chunkTimes(came, a.first, a.last, a.sent)
+func (a *answer) times(arrived time.Time) (ttft, tpot time.Duration) {
+	return chunkTimes(arrived, a.first, a.last, a.sent)
 }
 
 // Problem is the body of every refusal and error.
--- a/entry/homes_test.go
+++ b/entry/homes_test.go
@@ -17,9 +17,9 @@
 	"github.com/embercove/embercove/result"
 )
 
-// homesDocument restricts a route and a team to regions. Domain a is in region r, as is the
+// twoRegionDocument restricts a route and a team to regions. Domain a is in region r, as is the
 // host, and b in s.
-const homesDocument = `{"failure_domains": [{"name": "a", "region": "r", "link_bytes_per_second": 1000000000}, {"name": "b", "region": "s", "link_bytes_per_second": 1000000000}],
+const twoRegionDocument = `{"failure_domains": [{"name": "a", "region": "r", "link_bytes_per_second": 1000000000}, {"name": "b", "region": "s", "link_bytes_per_second": 1000000000}],
 	"targets": {"ttft_ms": 900, "tpot_ms": 10}, "models": [{"name": "m", "version": "1", "max_tokens": 10000, "kv_bytes_per_token": 1000}],
 	"pools": [{"name": "p", "memory_tokens": 50000, "slots": 10, "link_bytes_per_second": 1000000000}],
 	"teams": [{"name": "t", "regions": [%[2]s]}],
@@ -38,7 +38,7 @@
 
 // offerDocument publishes a document with other regions.
 func (s *leavingScene) offerDocument(revision uint64, routeRegions, teamRegions string) {
-	if _, err := s.board.Config.Offer(revision, fmt.Appendf(nil, homesDocument, routeRegions, teamRegions)); err != nil {
+	if _, err := s.board.Config.Offer(revision, fmt.Appendf(nil, twoRegionDocument, routeRegions, teamRegions)); err != nil {
 		s.t.Fatal(err)
 	}
 	s.board.Endpoints.ApplyView(s.board.Config.View())
@@ -60,7 +60,7 @@
 func TestHomes(t *testing.T) {
 	for _, tc := range []struct {
 		name, route, team string
-		left              []string
+		hasLeft           []string
 		want              []string // calls; nil: refused
 	}{
 		{"any region", "", "", nil, []string{"prefill at p1", "decode at d1"}},
@@ -75,7 +75,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := newTwoRegionScene(t, tc.route, tc.team)
-				for _, name := range tc.left {
+				for _, name := range tc.hasLeft {
 					s.hasLeft[name] = true
 				}
 				s.publish()
@@ -84,7 +84,7 @@
 				if !slices.Equal(calls, tc.want) {
 					t.Errorf("calls %v, want %v (%v)", calls, tc.want, refusal)
 				}
-				if tc.want == nil && tc.left == nil && refusal != nil && refusal.Code != result.NoHome {
+				if tc.want == nil && tc.hasLeft == nil && refusal != nil && refusal.Code != result.NoHome {
 					t.Errorf("refused as %v", refusal)
 				}
 				if tc.want == nil && (refusal == nil || !refusal.NotRun() || refusal.RetryAfter == 0 || time.Since(began) > 0) {
--- a/entry/leaving_test.go
+++ b/entry/leaving_test.go
@@ -79,9 +79,9 @@
 
 // leaveNow makes an endpoint leave, or its failure domain be evacuated, if that is
 // configured for this step.
-func (s *leavingScene) leaveNow(moment, name string) {
-	if s.leaveAt[moment] {
-		s.leaveAt[moment] = false
+func (s *leavingScene) leaveNow(step, name string) {
+	if s.leaveAt[step] {
+		s.leaveAt[step] = false
 		s.hasLeft[name] = true
 		if s.evacuate {
 			s.hasLeft["p"+name[1:]], s.hasLeft["d"+name[1:]] = true, true
@@ -101,9 +101,9 @@
 
 func (s *leavingScene) Enqueue(ctx context.Context, spec *config.Endpoint, a owner.EnqueueArgs) (owner.EnqueueReply, error) {
 	s.leaveNow(atEnqueue, spec.Name)
-	if turned := s.onEnqueue; turned != nil {
+	if onEnqueue := s.onEnqueue; onEnqueue != nil {
 		s.onEnqueue = nil
-		turned()
+		onEnqueue()
 	}
 	if s.ownersAhead && s.hasLeft[spec.Name] {
 		return owner.EnqueueReply{Code: result.Evacuated, Retry: 2000}, nil
@@ -122,9 +122,9 @@
 func (s *leavingScene) Prefill(_ context.Context, c endpoint.Call, _ *endpoint.Work) (*endpoint.PrefillAnswer, error) {
 	s.recordCall("prefill at", c.Name)
 	for i := len(s.callOrder) - 1; i >= 0; i-- {
-		var dec string
-		if n, _ := fmt.Sscanf(s.callOrder[i], "reserve %s", &dec); n == 1 {
-			s.leaveNow(atPrefill, dec)
+		var decodeName string
+		if n, _ := fmt.Sscanf(s.callOrder[i], "reserve %s", &decodeName); n == 1 {
+			s.leaveNow(atPrefill, decodeName)
 			break
 		}
 	}
@@ -173,8 +173,8 @@
 	if _, err := s.board.Config.Offer(1, []byte(twoDomains)); err != nil {
 		t.Fatal(err)
 	}
-	for _, moment := range steps {
-		s.leaveAt[moment] = true
+	for _, step := range steps {
+		s.leaveAt[step] = true
 	}
 	s.publish()
 	e := New(s.board, s, s, report.NewRecorder(), zap.NewNop())
@@ -208,9 +208,9 @@
 				if refusal, body := s.run(t, tc.steps); refusal != nil || body != "data: x\n\n" {
 					t.Errorf("%v, body %q, after %v", refusal, body, s.callOrder)
 				}
-				for moment, still := range s.leaveAt {
+				for step, still := range s.leaveAt {
 					if still {
-						t.Errorf("no endpoint left %s", moment)
+						t.Errorf("no endpoint left %s", step)
 					}
 				}
 			})
--- a/entry/place_test.go
+++ b/entry/place_test.go
@@ -34,12 +34,12 @@
 	calls        []string
 }
 
-func (s *stubOwners) note(format string, args ...any) {
+func (s *stubOwners) record(format string, args ...any) {
 	s.calls = append(s.calls, fmt.Sprintf(format, args...))
 }
 
 func (s *stubOwners) Reserve(context.Context, *config.Endpoint, owner.ReserveArgs) (owner.ReserveReply, error) {
-	s.note("reserve")
+	s.record("reserve")
 	code := result.OK
 	if len(s.reserveCodes) > 0 {
 		code, s.reserveCodes = s.reserveCodes[0], s.reserveCodes[1:]
@@ -48,7 +48,7 @@
 }
 
 func (s *stubOwners) Enqueue(_ context.Context, _ *config.Endpoint, a owner.EnqueueArgs) (owner.EnqueueReply, error) {
-	s.note("slot in %d", a.NotYet)
+	s.record("slot in %d", a.NotYet)
 	code := result.OK
 	if len(s.enqueueCodes) > 0 {
 		code, s.enqueueCodes = s.enqueueCodes[0], s.enqueueCodes[1:]
@@ -59,7 +59,7 @@
 }
 
 func (s *stubOwners) Release(spec *config.Endpoint, r owner.Release) {
-	s.note("%s released", spec.Role)
+	s.record("%s released", spec.Role)
 }
 
 func (s *stubOwners) FindCached(context.Context, []*config.Endpoint, uint32, int) (*config.Endpoint, int) {
@@ -96,11 +96,11 @@
 // knows when the prompt arrives.
 func TestTurnLater(t *testing.T) {
 	cases := []struct {
-		name   string
-		roomIn int
-		turns  []result.Code
-		want   string
-		placed bool
+		name         string
+		memoryIn     int
+		enqueueCodes []result.Code
+		want         string
+		placed       bool
 	}{
 		{"memory at once", 0, nil, "slot in 0, reserve", true},
 		{"memory soon", 300, nil, "slot in 0, reserve", true},
@@ -111,7 +111,7 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				stub := &stubOwners{memoryIn: tc.roomIn, enqueueCodes: tc.turns}
+				stub := &stubOwners{memoryIn: tc.memoryIn, enqueueCodes: tc.enqueueCodes}
 				e, j := newPlacement(t, stub, 1, 1)
 				_, err := e.place(context.Background(), j)
 				if placed := err == nil; placed != tc.placed {
--- a/entry/start_test.go
+++ b/entry/start_test.go
@@ -23,7 +23,7 @@
 type coldScene struct {
 	*leavingScene
 	permits       []peer.Permit // answers in order of the requests; further ones are granted at once
-	permitsBefore int           // permits before the step atPermit
+	permitsBefore int           // permits requested before the one at which the endpoint leaves, if leaveAt has atPermit
 }
 
 func (s *coldScene) AcquirePermit(_ context.Context, spec *config.Endpoint, _ peer.PermitRequest) peer.Permit {
@@ -31,14 +31,14 @@
 	if s.permitsBefore--; s.permitsBefore < 0 {
 		s.leaveNow(atPermit, spec.Name)
 	}
-	start := peer.Permit{Granted: true, ExpiresAt: time.Now().Add(time.Second)}
+	permit := peer.Permit{Granted: true, ExpiresAt: time.Now().Add(time.Second)}
 	if len(s.permits) > 0 {
-		start, s.permits = s.permits[0], s.permits[1:]
+		permit, s.permits = s.permits[0], s.permits[1:]
 	}
-	if start.Granted && start.ExpiresAt.IsZero() {
-		start.ExpiresAt = time.Now().Add(start.Delay + time.Second)
+	if permit.Granted && permit.ExpiresAt.IsZero() {
+		permit.ExpiresAt = time.Now().Add(permit.Delay + time.Second)
 	}
-	return start
+	return permit
 }
 
 // callLog returns the permits and calls, without the numbers of the endpoints.
@@ -56,7 +56,7 @@
 // permit is used neither before nor after it is valid, and that a request goes elsewhere,
 // or is refused as not run, if there is none.
 func TestStarts(t *testing.T) {
-	const whole = "permit at p, prefill at p, permit at d, decode at d"
+	const withPermits = "permit at p, prefill at p, permit at d, decode at d"
 	none := peer.Permit{Delay: 700 * time.Millisecond}
 	for _, tc := range []struct {
 		name   string
@@ -67,13 +67,13 @@
 		code   result.Code
 	}{
 		{name: "warm", warm: true, want: "prefill at p, decode at d"},
-		{name: "granted at once", want: whole},
-		{name: "granted for later", script: []peer.Permit{{Granted: true, Delay: 300 * time.Millisecond}}, want: whole},
-		{name: "expired before use", script: []peer.Permit{{Granted: true, ExpiresAt: time.Unix(0, 1)}}, want: "permit at p, " + whole},
-		{name: "none at the first prefill engine", script: []peer.Permit{none}, want: "permit at p, " + whole},
+		{name: "granted at once", want: withPermits},
+		{name: "granted for later", script: []peer.Permit{{Granted: true, Delay: 300 * time.Millisecond}}, want: withPermits},
+		{name: "expired before use", script: []peer.Permit{{Granted: true, ExpiresAt: time.Unix(0, 1)}}, want: "permit at p, " + withPermits},
+		{name: "none at the first prefill engine", script: []peer.Permit{none}, want: "permit at p, " + withPermits},
 		{name: "none at the first decode engine", script: []peer.Permit{{Granted: true}, none},
 			want: "permit at p, prefill at p, permit at d, permit at d, decode at d"},
-		{name: "a full engine is called again", full: 1, want: whole + ", permit at d, decode at d"},
+		{name: "a full engine is called again", full: 1, want: withPermits + ", permit at d, decode at d"},
 		{name: "none at all", script: []peer.Permit{none, none}, want: "permit at p, permit at p", code: result.Cold},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
