--- a/proof/hundreds_test.go
+++ b/proof/hundreds_test.go
@@ -128,9 +128,9 @@
 }
 
 // checkDigestAges checks the age of endpoints' digests on the hosts that decide by them. Nine in
-// ten must be useful to route.Pick, which gives a digest older than 3 s little weight.
+// ten must be useful to route.Pick, which penalizes a digest older than 3 s.
 func (s *harness) checkDigestAges(t *testing.T) {
-	const maxAge = 3500 * time.Millisecond // those 3 s and one round of exchanges
+	const maxAge = 3500 * time.Millisecond // one round of exchanges more than 3 s
 	var own, others []time.Duration
 	now := time.Now()
 	for _, n := range s.Nodes {
--- a/proof/keys_test.go
+++ b/proof/keys_test.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// TestOldKeys sends keys that callers first used before any of the keys' holders started.
-// No host can tell whether their requests ran, so none may run them again.
+// TestOldKeys sends keys that were first used before any host became their holder. No host
+// can tell whether the requests under them ran, so none may run them again.
 func TestOldKeys(t *testing.T) {
 	p := runScenario(t, options{seed: 450, rate: 5, span: 3 * time.Second, edit: func(as *[]load.Arrival) {
 		for i := range *as {
