--- a/load/bound.go
+++ b/load/bound.go
@@ -47,9 +47,9 @@
 	return c
 }
 
-// uncachedTokens returns the prompt tokens of an arrival that aren't in seen, the
+// uncachedPromptTokens returns the prompt tokens of an arrival that aren't in seen, the
 // blocks of earlier prompts, and adds its blocks there. It is at least 1.
-func uncachedTokens(a Arrival, seen map[uint64]bool) int {
+func uncachedPromptTokens(a Arrival, seen map[uint64]bool) int {
 	blocks := endpoint.Blocks(a.Prompt)
 	tokens := endpoint.Tokens(len(a.Prompt))
 	for _, b := range blocks {
@@ -117,7 +117,7 @@
 	seen := map[uint64]bool{}
 	for _, a := range arrivals {
 		if a.LeaveAfter == 0 {
-			prefill = append(prefill, float64(uncachedTokens(a, seen))/pre.tokensPerSecond)
+			prefill = append(prefill, float64(uncachedPromptTokens(a, seen))/pre.tokensPerSecond)
 			transfer = append(transfer, float64(endpoint.Tokens(len(a.Prompt)))*dec.kvBytesPerToken/dec.totalLinkRate)
 		}
 	}
