--- a/entry/away_state_test.go
+++ b/entry/away_state_test.go
@@ -51,8 +51,8 @@
 
 // newRemoteScene returns an entry in region r, a job there, and owners in r and s. Region s
 // reports free capacity.
-func newRemoteScene(t *testing.T, allowedRegions string) (*Entry, *job, *scriptedOwners) {
-	s := &scriptedOwners{leavingScene: newTwoRegionScene(t, allowedRegions, "")}
+func newRemoteScene(t *testing.T, regions string) (*Entry, *job, *scriptedOwners) {
+	s := &scriptedOwners{leavingScene: newTwoRegionScene(t, regions, "")}
 	v := s.board.Config.View()
 	s.board.Regions.Learn(region.Summary{Region: config.NameNumber("s"), Pool: region.PoolNumber("p", "m"), Capacity: 50}, time.Now())
 	e := New(s.board, s, s, report.NewRecorder(), zap.NewNop())
