--- a/peer/codec.go
+++ b/peer/codec.go
@@ -14,17 +14,17 @@
 
 // wire is one end of a connection between hosts.
 type wire struct {
-	conn    io.ReadWriteCloser
-	dec     *gob.Decoder
-	enc     *gob.Encoder
-	out     *bufio.Writer
-	read    *countingReader
-	written *countingWriter
-	ledger  *meter.PurposeTraffic
+	conn     io.ReadWriteCloser
+	dec      *gob.Decoder
+	enc      *gob.Encoder
+	out      *bufio.Writer
+	read     *countingReader
+	written  *countingWriter
+	purposes *meter.PurposeTraffic
 }
 
-func newWire(conn io.ReadWriteCloser, ledger *meter.PurposeTraffic) *wire {
-	w := &wire{conn: conn, out: bufio.NewWriter(conn), ledger: ledger}
+func newWire(conn io.ReadWriteCloser, purposes *meter.PurposeTraffic) *wire {
+	w := &wire{conn: conn, out: bufio.NewWriter(conn), purposes: purposes}
 	w.read = &countingReader{Reader: bufio.NewReader(conn)}
 	w.written = &countingWriter{w: w.out}
 	w.dec, w.enc = gob.NewDecoder(w.read), gob.NewEncoder(w.written)
@@ -97,14 +97,14 @@
 }
 
 // newClient returns a client that counts the bytes of its calls.
-func newClient(conn io.ReadWriteCloser, ledger *meter.PurposeTraffic) *rpc.Client {
-	return rpc.NewClientWithCodec(&clientCodec{wire: newWire(conn, ledger)})
+func newClient(conn io.ReadWriteCloser, purposes *meter.PurposeTraffic) *rpc.Client {
+	return rpc.NewClientWithCodec(&clientCodec{wire: newWire(conn, purposes)})
 }
 
 // WriteRequest implements rpc.ClientCodec.
 func (c *clientCodec) WriteRequest(r *rpc.Request, body any) error {
 	n, err := c.send(r, body)
-	s := c.ledger.Of(purposeOf(r.ServiceMethod, body))
+	s := c.purposes.Of(purposeOf(r.ServiceMethod, body))
 	s.Out.Add(uint64(n))
 	s.Made.Add(1)
 	return err
@@ -120,7 +120,7 @@
 // ReadResponseBody implements rpc.ClientCodec.
 func (c *clientCodec) ReadResponseBody(body any) error {
 	n, err := c.readBody(body)
-	c.ledger.Of(purposeOf(c.method, body)).In.Add(uint64(n))
+	c.purposes.Of(purposeOf(c.method, body)).In.Add(uint64(n))
 	return err
 }
 
@@ -138,7 +138,7 @@
 		c.Close()
 		return err
 	}
-	s := c.ledger.Of(purposeOf(r.ServiceMethod, body))
+	s := c.purposes.Of(purposeOf(r.ServiceMethod, body))
 	s.Out.Add(uint64(n))
 	s.Answered.Add(1)
 	return nil
@@ -154,7 +154,7 @@
 // ReadRequestBody implements rpc.ServerCodec.
 func (c *serverCodec) ReadRequestBody(body any) error {
 	n, err := c.readBody(body)
-	c.ledger.Of(purposeOf(c.method, body)).In.Add(uint64(n))
+	c.purposes.Of(purposeOf(c.method, body)).In.Add(uint64(n))
 	return err
 }
 
--- a/peer/limits.go
+++ b/peer/limits.go
@@ -13,7 +13,7 @@
 )
 
 // This file spreads the rate limits that endpoints name in their answers. When an answer shows
-// that an endpoint begins to name a limit, or no longer names one, the host tells all live hosts
+// that an endpoint begins to name a limit, or no longer names one, the host informs all live hosts
 // at once, so that they begin or stop acquiring start permits. A changed value goes only to the
 // endpoint's owner, whom the others ask for permits. Permit requests carry the caller's view of
 // the limit and bring back the owner's, so a host that missed an announcement gets the limit with
--- a/peer/pack.go
+++ b/peer/pack.go
@@ -13,9 +13,9 @@
 
 // Units of packed fields.
 const (
-	packMillis = 10 // ages, queues and waits
-	packTokens = 64 // free memory
-	packHead   = 256
+	packMillis = 10  // ages, queues and waits
+	packTokens = 64  // free memory
+	packHead   = 256 // cached tokens of a prompt
 )
 
 // pack appends the digests to a message.
--- a/peer/partner.go
+++ b/peer/partner.go
@@ -67,8 +67,8 @@
 	healthy [sampleSize]bool            // live and not unconfirmed
 
 	kept   [neighbours]blackboard.Host // healthy neighbours of this host
-	weight [neighbours]uint64
-	n      int
+	weight [neighbours]uint64          // their rendezvous weights
+	n      int                         // number of them
 }
 
 // add adds a host of the scope.
--- a/peer/pool.go
+++ b/peer/pool.go
@@ -21,9 +21,9 @@
 
 // pool keeps connections to peers, at most one per peer.
 type pool struct {
-	dial    Dial
-	traffic *meter.Traffic
-	ledger  *meter.PurposeTraffic
+	dial     Dial
+	traffic  *meter.Traffic
+	purposes *meter.PurposeTraffic
 
 	mu     sync.Mutex
 	conns  map[string]*rpc.Client
@@ -46,11 +46,11 @@
 // the timeout, and the next answer arrives.
 const deadAfter = 2
 
-func newPool(dial Dial, t *meter.Traffic, ledger *meter.PurposeTraffic) *pool {
+func newPool(dial Dial, t *meter.Traffic, purposes *meter.PurposeTraffic) *pool {
 	if dial == nil {
 		dial = (&net.Dialer{}).DialContext
 	}
-	return &pool{dial: dial, traffic: t, ledger: ledger, conns: map[string]*rpc.Client{}, states: map[string]*peerState{}}
+	return &pool{dial: dial, traffic: t, purposes: purposes, conns: map[string]*rpc.Client{}, states: map[string]*peerState{}}
 }
 
 // stateOf returns the state of a peer. The caller holds the lock.
@@ -156,7 +156,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c = newClient(&trackedConn{countedConn: counted(conn, p.traffic), lastRead: &p.stateOf(addr).lastRead}, p.ledger)
+	c = newClient(&trackedConn{countedConn: counted(conn, p.traffic), lastRead: &p.stateOf(addr).lastRead}, p.purposes)
 	if old := p.conns[addr]; old != nil || p.closed {
 		c.Close()
 		if old == nil {
@@ -255,7 +255,7 @@
 	}
 	p.mu.Lock()
 	old := p.conns[addr]
-	c := newClient(&trackedConn{countedConn: counted(conn, p.traffic), lastRead: &p.stateOf(addr).lastRead}, p.ledger)
+	c := newClient(&trackedConn{countedConn: counted(conn, p.traffic), lastRead: &p.stateOf(addr).lastRead}, p.purposes)
 	p.mu.Unlock()
 	p.traffic.Calls.Add(1)
 	call := c.Go(method, args, reply, make(chan *rpc.Call, 1))
--- a/peer/pool_test.go
+++ b/peer/pool_test.go
@@ -146,7 +146,7 @@
 	cases := []struct {
 		name   string
 		pause  time.Duration // of the reader, after each chunk
-		pieces int           // that the reader reads; 0: all
+		chunks int           // that the reader reads; 0: all
 		ok     bool
 	}{
 		{"a fast reader", 0, 0, true},
@@ -161,7 +161,7 @@
 				go func() {
 					defer close(end)
 					buf := make([]byte, writeChunkBytes)
-					for i := 0; tc.pieces == 0 || i < tc.pieces; i++ {
+					for i := 0; tc.chunks == 0 || i < tc.chunks; i++ {
 						n, err := far.Read(buf)
 						got += n
 						if err != nil {
--- a/peer/releases.go
+++ b/peer/releases.go
@@ -12,7 +12,7 @@
 // flushInterval is how long releases to a peer are batched.
 const flushInterval = 40 * time.Millisecond
 
-// Release tells the endpoint's owner that an attempt has ended. It doesn't wait: if a release is
+// Release informs the endpoint's owner that an attempt has ended. It doesn't wait: if a release is
 // lost, the owner learns of the end from the endpoint's own list.
 func (r *Router) Release(spec *config.Endpoint, rel owner.Release) {
 	h, self, err := r.ownerOf(spec)
--- a/peer/router.go
+++ b/peer/router.go
@@ -25,11 +25,11 @@
 	Traffic        meter.Traffic        // with other hosts
 	PurposeTraffic meter.PurposeTraffic // traffic by purpose
 	Fetches        meter.Fetches        // fetches of what this host lacked
-	// Accepted is called with each revision that takes effect. It may be nil, and is set before
+	// OnAccepted is called with each revision that takes effect. It may be nil, and is set before
 	// the router is used.
 	OnAccepted func(v *config.View)
-	// Emptied is called when more failure domains are evacuated than before. It may be nil, and
-	// is set before the router is used.
+	// OnEvacuated is called when more failure domains are evacuated than before. It may be nil,
+	// and is set before the router is used.
 	OnEvacuated func(v *config.View)
 
 	board *blackboard.Board
@@ -157,7 +157,7 @@
 }
 
 // Enqueue waits at the endpoint's owner for admission. If the caller leaves meanwhile, the owner
-// is told.
+// is informed.
 func (r *Router) Enqueue(ctx context.Context, spec *config.Endpoint, a owner.EnqueueArgs) (owner.EnqueueReply, error) {
 	h, self, err := r.ownerOf(spec)
 	if err != nil {
@@ -190,7 +190,7 @@
 
 // remoteRegionWatch is how long an owner in another region may be silent before it is pinged. The
 // request was already refused in its home region and has to be tried in a third one if this one
-// is cut off: with the ordinary call timeout, 625 ms of its 810 ms were gone by then.
+// is cut off: with the ordinary call timeout, 625 ms of the request's 810 ms had passed by then.
 const remoteRegionWatch = 100 * time.Millisecond
 
 // watchTimeout returns how long an owner may be silent while a request waits for admission.
@@ -223,8 +223,8 @@
 	return err
 }
 
-// pingTimeoutHalves is how long a ping may take, in halves of the call timeout: a lost packet is
-// resent after about 200 ms.
+// pingTimeoutHalves is how long callWatched's pings may take, in halves of the silence after which
+// they are sent: a lost packet is resent after about 200 ms.
 const pingTimeoutHalves = 3
 
 // How long an owner may keep a queued request beyond the expected wait.
--- a/peer/settle.go
+++ b/peer/settle.go
@@ -115,8 +115,8 @@
 }
 
 // unanswered returns the rows whose teams have no answer.
-func unanswered(asked, answered []SettleRow) []SettleRow {
-	return slices.DeleteFunc(slices.Clone(asked), func(row SettleRow) bool {
+func unanswered(sent, answered []SettleRow) []SettleRow {
+	return slices.DeleteFunc(slices.Clone(sent), func(row SettleRow) bool {
 		return slices.ContainsFunc(answered, func(a SettleRow) bool { return a.Team == row.Team })
 	})
 }
--- a/peer/standing_test.go
+++ b/peer/standing_test.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// TestRelyBehind has a host learn of a later revision that it can't fetch, after it was told that
-// it is up to date.
+// TestRelyBehind has a host learn of a later revision that it can't fetch, after another host's
+// report showed that it was up to date.
 func TestRelyBehind(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const bound = 4 * time.Second
--- a/peer/starts.go
+++ b/peer/starts.go
@@ -82,13 +82,13 @@
 	return reply, err
 }
 
-// Vote answers another host.
+// Vote answers another host's request for a vote.
 func (s *server) Vote(a *owner.VoteArgs, reply *owner.VoteReply) error {
 	*reply = s.r.owner.Permits.Vote(*a)
 	return nil
 }
 
-// Start answers another host.
+// Start answers another host's request for a start permit.
 func (s *server) Start(a *owner.PermitArgs, reply *owner.PermitReply) (err error) {
 	*reply, err = s.r.owner.Permits.Acquire(*a)
 	return err
--- a/peer/watch.go
+++ b/peer/watch.go
@@ -16,9 +16,9 @@
 
 const (
 	watchInterval  = 1500 * time.Millisecond
-	watchers       = 2
+	watchers       = 2                // hosts that ping each host
 	maxMissedPings = 2                // pings in a row before a host counts as gone
-	goneSendFor    = 30 * time.Second // how long exchanges carry it
+	goneSendFor    = 30 * time.Second // how long exchanges report a host as gone
 )
 
 // Watcher returns the controller that pings the watched hosts, and repeats announcements of
