--- a/publish/era_test.go
+++ b/publish/era_test.go
@@ -16,7 +16,7 @@
 // the store.
 type eraSink struct {
 	stubSink
-	heard int
+	confirmations int
 }
 
 func (s *eraSink) OfferRoster(r *config.Roster, _ string) {
@@ -25,7 +25,7 @@
 	}
 }
 
-func (s *eraSink) Confirmed(time.Time, time.Time) { s.heard++ }
+func (s *eraSink) Confirmed(time.Time, time.Time) { s.confirmations++ }
 
 // eraStore answers with the given positions, one per call, and then blocks.
 type eraStore struct {
@@ -68,12 +68,12 @@
 		return p
 	}
 	for _, tc := range []struct {
-		name    string
-		answers []config.Position
-		known   config.Position // from another host; 0: none
-		want    config.Position // in force at the end
-		heard   int
-		copies  int // log lines saying that the store came back from a backup
+		name          string
+		answers       []config.Position
+		known         config.Position // from another host; 0: none
+		want          config.Position // in force at the end
+		confirmations int
+		restoreLogs   int // log lines saying that the store came back from a backup
 	}{
 		{"one era", []config.Position{at(1, 3), at(1, 4)}, 0, at(1, 4), 2, 0},
 		{"a later era", []config.Position{at(1, 9), at(2, 4), at(2, 4), at(2, 5)}, 0, at(2, 5), 3, 1},
@@ -92,11 +92,11 @@
 				time.Sleep(time.Minute)
 				cancel()
 				synctest.Wait()
-				if sink.roster.Revision != tc.want || sink.heard != tc.heard {
-					t.Errorf("at %s, confirmed %d times; want %s, %d", sink.roster.Revision, sink.heard, tc.want, tc.heard)
+				if sink.roster.Revision != tc.want || sink.confirmations != tc.confirmations {
+					t.Errorf("at %s, confirmed %d times; want %s, %d", sink.roster.Revision, sink.confirmations, tc.want, tc.confirmations)
 				}
-				if n := logs.FilterMessage("store came back from a copy").Len(); n != tc.copies {
-					t.Errorf("%d log lines of a restored store, want %d", n, tc.copies)
+				if n := logs.FilterMessage("store came back from a copy").Len(); n != tc.restoreLogs {
+					t.Errorf("%d log lines of a restored store, want %d", n, tc.restoreLogs)
 				}
 			})
 		})
--- a/publish/follow.go
+++ b/publish/follow.go
@@ -23,13 +23,13 @@
 	// Eager reports whether this host is one of those that detect early when the store's watches
 	// have gone silent. The others learn of changes from them.
 	Eager() bool
-	// Relies reports whether other hosts keep this one up to date, that is, have recently
+	// ReliesOnPeers reports whether other hosts keep this one up to date, that is, have recently
 	// reported what the store holds.
 	ReliesOnPeers() bool
-	// Heard records that the platform held what is known here at the time at. The call was made
-	// at the time asked: if the process was paused since then, the answer may be old.
+	// Confirmed records that at the time at the platform held what is known here. asked is when
+	// the call was made: if the process was paused since then, the answer may be old.
 	Confirmed(asked, at time.Time)
-	// HeardFor returns the age of what is known here, and whether anything is.
+	// ConfirmedAge returns the age of what is known here, and whether anything is.
 	ConfirmedAge() (age time.Duration, ever bool)
 }
 
@@ -51,7 +51,7 @@
 
 	at              config.Position
 	known           config.Endpoints
-	lapsed          config.ExpiredEndpoints      // the lapsed ones among known
+	expired         config.ExpiredEndpoints      // those of known whose registrations have expired
 	evacuations     map[string]config.Evacuation // by failure domain
 	storeLost       bool                         // the last call failed
 	lostSince       time.Time                    // when storeLost was set
@@ -190,7 +190,7 @@
 
 // setKnown replaces the known endpoints.
 func (f *Follower) setKnown(known config.Endpoints) {
-	trie.Diff(f.known, known, func(number uint32, _, now *config.Endpoint) { f.lapsed.Note(number, now) })
+	trie.Diff(f.known, known, func(number uint32, _, now *config.Endpoint) { f.expired.Note(number, now) })
 	f.known = known
 }
 
--- a/publish/lapse.go
+++ b/publish/lapse.go
@@ -11,10 +11,10 @@
 )
 
 // A registration that vanishes usually means that its endpoint has left. But if the store was
-// down, registrations may have expired whose endpoints could not renew them. Such endpoints are
-// marked as lapsed and stay in use for config.LapsedKept. An endpoint that is alive and reaches
-// the store registers again within that time. The others count as gone; if nothing else is
-// published, ConfigTable.DropLapsed removes them.
+// down, registrations may have expired whose endpoints could not renew them. Such endpoints get
+// the time of the expiry in Endpoint.Lapsed and stay in use for config.ExpiryGrace. An endpoint
+// that is alive and reaches the store registers again within that time. The others count as gone;
+// if nothing else is published, ConfigTable.DropExpired removes them.
 
 const (
 	// minOutage is how long a store must be unreachable before registrations may have expired. If
@@ -60,7 +60,7 @@
 
 // keepVanished decides which endpoints without a registration stay in use, because they may not
 // have left. reported means that the store reported each end. Otherwise they are only missing
-// from a listing, where an endpoint that has lapsed before is missing again.
+// from a listing, where an endpoint whose registration expired before is missing again.
 func (f *Follower) keepVanished(gone []*config.Endpoint, reported bool, now time.Time) {
 	all := float64(len(gone) + f.known.Len())
 	mass := len(gone) > 1 && float64(len(gone)) > massShare*all
@@ -101,7 +101,7 @@
 		taken[e.Address] = false
 	}
 	for _, e := range f.known.All() {
-		if _, asked := taken[e.Address]; asked && e.Lapsed.IsZero() {
+		if _, listed := taken[e.Address]; listed && e.Lapsed.IsZero() {
 			taken[e.Address] = true
 		}
 	}
@@ -111,15 +111,15 @@
 // dropExpired drops endpoints whose registrations have been missing for too long, or whose
 // address another endpoint has taken.
 func (f *Follower) dropExpired(now time.Time) {
-	lapsed := f.lapsed.All()
-	if len(lapsed) == 0 {
+	expired := f.expired.All()
+	if len(expired) == 0 {
 		return
 	}
 	known := f.known
-	for _, e := range lapsed {
+	for _, e := range expired {
 		known = config.Remove(known, e.Name)
 	}
-	for _, e := range f.withFreeAddress(lapsed) {
+	for _, e := range f.withFreeAddress(expired) {
 		if !e.PastGrace(now) {
 			known = config.Put(known, e)
 		}
--- a/publish/store.go
+++ b/publish/store.go
@@ -16,7 +16,7 @@
 	// silent, as a Guard does.
 	List(ctx context.Context) (*State, error)
 	// Watch returns what changed after a position of the store, as soon as something did or when
-	// wait is over. It returns ErrForgotten if the store no longer has these changes.
+	// wait is over. It returns ErrCompacted if the store no longer has these changes.
 	Watch(ctx context.Context, after config.Position, wait time.Duration) (*Changes, error)
 	// Close drops idle connections.
 	Close()
@@ -41,8 +41,8 @@
 	Took      time.Duration // duration of the answer
 }
 
-// Changes is the net change of a store: an endpoint that went and came again is only in Changed,
-// and one that came and went only in Gone. The same holds for evacuations.
+// Changes is the net change of a store: an endpoint that was removed and added again is only in
+// Changed, and one that was added and removed only in Gone. The same holds for evacuations.
 type Changes struct {
 	At       config.Position
 	Document *Revision         // nil: unchanged
