--- a/internal/fake/proxy.go
+++ b/internal/fake/proxy.go
@@ -11,7 +11,7 @@
 // Mode says what a proxy does with the traffic through it.
 type Mode int32
 
-// ModeCount of a proxy.
+// Modes of a proxy.
 const (
 	Pass       Mode = iota
 	Delayed         // bytes are delayed by proxyDelay
