--- a/peer/news.go
+++ b/peer/news.go
@@ -161,7 +161,8 @@
 func (r *Router) spread() {
 	now := time.Now()
 	digests := r.shouldSendDigests(now)
-	joining := r.board.Joining(now) && !r.exchangesTooLarge() // full exchanges carry more heartbeats, by which hosts get to know each other
+	// Full exchanges carry more heartbeats, by which hosts get to know each other.
+	joining := r.board.Joining(now) && !r.exchangesTooLarge()
 	for _, round := range []uint64{1, 2, otherDomainEvery, otherRegionEvery} {
 		if h, ok := r.partner(round, now); ok {
 			go r.exchange(context.Background(), h, !digests && !joining)
