--- a/publish/store.go
+++ b/publish/store.go
@@ -41,8 +41,8 @@
 	Took      time.Duration // duration of the answer
 }
 
-// Changes is the net change of a store: an endpoint that went and came again is only in Changed,
-// and one that came and went only in Gone. The same holds for evacuations.
+// Changes is the net change of a store: an endpoint that was removed and added again is only in
+// Changed, and one that was added and removed only in Gone. The same holds for evacuations.
 type Changes struct {
 	At       config.Position
 	Document *Revision         // nil: unchanged
