--- a/blackboard/board.go
+++ b/blackboard/board.go
@@ -63,9 +63,9 @@
 // each poll all endpoints.
 const discoveryTime = 500 * time.Millisecond
 
-// Meeting reports whether the host has just started and has seeds that it may not have
+// Discovering reports whether the host has just started and has seeds that it may not have
 // contacted yet.
-func (b *Board) Meeting(now time.Time) bool {
+func (b *Board) Discovering(now time.Time) bool {
 	return len(b.Settings.Seeds) > 0 && now.Sub(b.startedAt) < discoveryTime
 }
 
--- a/blackboard/config_test.go
+++ b/blackboard/config_test.go
@@ -226,8 +226,8 @@
 			}
 			offer(next, now.Add(10*time.Millisecond))
 			v := board.Config.View()
-			if v.Roster != 6 || v.Endpoints.Len() != len(next.Endpoints) {
-				t.Errorf("roster %d of %d endpoints in force, want 6 of %d", v.Roster, v.Endpoints.Len(), len(next.Endpoints))
+			if v.RosterRevision != 6 || v.Endpoints.Len() != len(next.Endpoints) {
+				t.Errorf("roster %d of %d endpoints in force, want 6 of %d", v.RosterRevision, v.Endpoints.Len(), len(next.Endpoints))
 			}
 			for i := range next.Endpoints {
 				want := next.Endpoints[i]
--- a/blackboard/heard.go
+++ b/blackboard/heard.go
@@ -61,21 +61,21 @@
 
 // ConfigStatus is the configuration status of one host, as shown to operators.
 type ConfigStatus struct {
-	Revision       uint64    `json:"revision"`
-	Since          time.Time `json:"since"`
-	Rejected       uint64    `json:"rejected_revision,omitempty"`
-	Cause          string    `json:"rejected_cause,omitempty"`
-	PlatformHeard  time.Time `json:"platform_heard"`
-	PlatformSilent float64   `json:"platform_silent_s"`
+	Revision              uint64    `json:"revision"`
+	Since                 time.Time `json:"since"`
+	Rejected              uint64    `json:"rejected_revision,omitempty"`
+	Cause                 string    `json:"rejected_cause,omitempty"`
+	PlatformAnsweredAt    time.Time `json:"platform_heard"`
+	PlatformSilentSeconds float64   `json:"platform_silent_s"`
 }
 
 // Status returns the status shown to operators.
 func (t *ConfigTable) Status(now time.Time) ConfigStatus {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := ConfigStatus{Revision: t.Revision(), Since: t.inForceSince, Rejected: t.rejected, Cause: t.rejectedCause, PlatformHeard: t.platformAnsweredAt, PlatformSilent: -1}
+	s := ConfigStatus{Revision: t.Revision(), Since: t.inForceSince, Rejected: t.rejected, Cause: t.rejectedCause, PlatformAnsweredAt: t.platformAnsweredAt, PlatformSilentSeconds: -1}
 	if !t.platformAnsweredAt.IsZero() {
-		s.PlatformSilent = now.Sub(t.platformAnsweredAt).Seconds()
+		s.PlatformSilentSeconds = now.Sub(t.platformAnsweredAt).Seconds()
 	}
 	return s
 }
--- a/blackboard/requests.go
+++ b/blackboard/requests.go
@@ -92,8 +92,8 @@
 	t.ended[code]++
 }
 
-// Refused counts a request that was refused before it had a row.
-func (t *RequestTable) Refused(code result.Code) {
+// CountRefused counts a request that was refused before it had a row.
+func (t *RequestTable) CountRefused(code result.Code) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.ended[code]++
@@ -122,8 +122,8 @@
 	}
 }
 
-// Holds reports whether an attempt is open here.
-func (t *RequestTable) Holds(a request.Attempt) bool {
+// IsOpen reports whether an attempt is open here.
+func (t *RequestTable) IsOpen(a request.Attempt) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.rows[a.ID]
--- a/config/roster.go
+++ b/config/roster.go
@@ -132,7 +132,7 @@
 		return v
 	}
 	out := *v
-	out.Roster, out.roster, out.Evacuated = r.Revision, r, EvacuationsByDomain(r.Evacuated)
+	out.RosterRevision, out.roster, out.Evacuated = r.Revision, r, EvacuationsByDomain(r.Evacuated)
 	if v.roster == nil {
 		out.indexEndpoints()
 		return &out
@@ -149,7 +149,7 @@
 		return v.WithRoster(other.rosterOrNone())
 	}
 	out := *v
-	out.Roster, out.roster, out.Evacuated = other.Roster, other.roster, other.Evacuated
+	out.RosterRevision, out.roster, out.Evacuated = other.RosterRevision, other.roster, other.Evacuated
 	out.Endpoints, out.byDomain, out.layout = other.Endpoints, other.byDomain, other.layout
 	return &out
 }
--- a/config/view.go
+++ b/config/view.go
@@ -28,7 +28,7 @@
 	Routes       []RouteView
 	Pools        map[string]*Pool
 	// Roster is the revision of the roster.
-	Roster Position
+	RosterRevision Position
 	// Evacuated are the evacuated failure domains.
 	Evacuated map[string]Evacuation
 
--- a/entry/barred.go
+++ b/entry/barred.go
@@ -73,8 +73,8 @@
 	c.counts[b]++
 }
 
-// Barred returns how often a reason kept a request from its endpoints.
-func (e *Entry) Barred(b route.Reason) uint64 {
+// IneligibleCount returns how often a reason kept a request from its endpoints.
+func (e *Entry) IneligibleCount(b route.Reason) uint64 {
 	e.reasonTotals.mu.Lock()
 	defer e.reasonTotals.mu.Unlock()
 	return e.reasonTotals.counts[b]
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -118,7 +118,7 @@
 // known.
 func (e *Entry) servableView() *config.View {
 	v := e.board.Config.View()
-	if v != nil && len(v.Pools) > 0 && v.Roster == 0 && time.Since(e.started) < firstRosterWait {
+	if v != nil && len(v.Pools) > 0 && v.RosterRevision == 0 && time.Since(e.started) < firstRosterWait {
 		return nil
 	}
 	return v
--- a/entry/finish.go
+++ b/entry/finish.go
@@ -14,7 +14,7 @@
 // so an earlier attempt may have run.
 func (e *Entry) refuse(w http.ResponseWriter, q *http.Request, err *result.Error, c caller) {
 	err.Unsure = q.Header.Get(HeaderKey) != ""
-	e.board.Requests.Refused(err.Code)
+	e.board.Requests.CountRefused(err.Code)
 	e.recorder.Record(report.Outcome{Code: err.Code, Team: unknownTeam}, time.Now())
 	e.logRefusal(c.id, err)
 	c.refuse(w, err)
--- a/entry/heard.go
+++ b/entry/heard.go
@@ -60,9 +60,9 @@
 	case s.Unreadable != "":
 		e.recordUnreadable(&e.NoticeCounts.BadLimits, "endpoint names a limit that can't be read", spec, s.Unreadable)
 	case s.Named:
-		e.owners.ReceiveLimit(spec, pace.Report{Named: true, PerSecond: s.PerSecond, At: clock.Now(), Born: spec.Born})
+		e.owners.ReceiveLimit(spec, pace.Report{Named: true, PerSecond: s.PerSecond, At: clock.Now(), Started: spec.Born})
 	case n.Authoritative:
-		e.owners.ReceiveLimit(spec, pace.Report{At: sent, Born: spec.Born})
+		e.owners.ReceiveLimit(spec, pace.Report{At: sent, Started: spec.Born})
 	}
 }
 
--- a/entry/held_test.go
+++ b/entry/held_test.go
@@ -28,7 +28,7 @@
 }
 
 func (h *attemptRecorder) Decode(ctx context.Context, c endpoint.Call, w *endpoint.Work) (endpoint.Stream, error) {
-	h.held = append(h.held, h.board.Requests.Holds(h.prefillAttempt))
+	h.held = append(h.held, h.board.Requests.IsOpen(h.prefillAttempt))
 	return h.leavingScene.Decode(ctx, c, w)
 }
 
--- a/entry/lines.go
+++ b/entry/lines.go
@@ -87,7 +87,7 @@
 	}
 	revision, roster := uint64(0), config.Position(0)
 	if v := e.board.Config.View(); v != nil {
-		revision, roster = v.Revision, v.Roster
+		revision, roster = v.Revision, v.RosterRevision
 	}
 	e.log.Info("request refused", zap.String("caller_id", callerID), zap.Uint64("revision", revision), zap.Stringer("roster", roster),
 		zap.Int("code", int(err.Code)), zap.String("name", err.Code.String()), zap.String("detail", err.Detail), zap.Duration("retry_after", err.RetryAfter),
@@ -101,7 +101,7 @@
 		return
 	}
 	e.log.Info("request", zap.Stringer("id", j.id), zap.String("caller_id", j.callerID()), zap.Stringer("fingerprint", j.fingerprint), zap.String("route", j.route.Name),
-		zap.Uint64("revision", j.view.Revision), zap.Stringer("roster", j.view.Roster), zap.String("team", o.Team), zap.String("model", o.Model),
+		zap.Uint64("revision", j.view.Revision), zap.Stringer("roster", j.view.RosterRevision), zap.String("team", o.Team), zap.String("model", o.Model),
 		zap.Int("code", int(o.Code)), zap.String("name", o.Code.String()), zap.String("detail", err.Detail),
 		zap.Int("verdict", int(v)), zap.Duration("ttft", o.TTFT), zap.Duration("tpot", o.TPOT), zap.Int("prompt_tokens", j.tokens),
 		zap.Int("answer_tokens", o.Tokens), zap.Int("attempts", o.Attempts), zap.Int("tries", j.tries), zap.Int("reads", j.prefillCalls),
--- a/entry/suspect.go
+++ b/entry/suspect.go
@@ -163,9 +163,9 @@
 func (e *Entry) verdictRefusal(j *job, v quarantine.Verdict, retryIn time.Duration) *result.Error {
 	switch v {
 	case quarantine.Blamed:
-		e.board.Suspects.NoteRefused()
+		e.board.Suspects.CountRefused()
 		return result.Errorf(result.EndsEndpoints, "endpoints crashed while they ran this request (%s)", j.fingerprint)
-	case quarantine.Resting:
+	case quarantine.BackingOff:
 		return underProbe(j).After(retryIn)
 	}
 	return nil
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -76,7 +76,7 @@
 		{"trials_given", "trials of suspected requests that this host gave out", true, func() float64 { return float64(n.Board.Suspects.Counts().Probes) }},
 		{"suspects_evicted", "marks that were forgotten for want of room", true, func() float64 { return float64(n.Board.Suspects.Counts().Evicted) }},
 		{"orphans_cancelled", "orphaned attempts cancelled at endpoints", true, func() float64 { return float64(n.Owner.Reaped.Load()) }},
-		{"starts_given", "starts at endpoints that are cold or name a limit, given out by this host", true, func() float64 { return float64(n.Owner.Permits.Given.Load()) }},
+		{"starts_given", "starts at endpoints that are cold or name a limit, given out by this host", true, func() float64 { return float64(n.Owner.Permits.Granted.Load()) }},
 		{"starts_refused", "asks for a start that this host refused", true, func() float64 { return float64(n.Owner.Permits.Refused.Load()) }},
 		{"starts_alone", "starts that this host gave itself while an endpoint's owner was out of reach", true, func() float64 { return float64(n.Owner.Permits.Isolated.Load()) }},
 		{"calls_unstarted", "calls of this host for which there was no start in time", true, func() float64 { return float64(n.entry.WithoutPermit.Load()) }},
@@ -106,7 +106,7 @@
 		{"log_lines_left_out", "log lines of requests left out to bound their number", true, func() float64 { return float64(n.entry.LogLinesDropped()) }},
 		{"roster_revision", "revision of the endpoints that registered themselves", false, func() float64 { return float64(n.Board.Config.RosterRevision().Revision()) }},
 		{"roster_era", "how often the store has come back from a copy, by its own count", false, func() float64 { return float64(n.Board.Config.RosterRevision().Era()) }},
-		{"platform_silent_seconds", "since the platform was last heard of", false, func() float64 { return n.Board.Config.Status(time.Now()).PlatformSilent }},
+		{"platform_silent_seconds", "since the platform was last heard of", false, func() float64 { return n.Board.Config.Status(time.Now()).PlatformSilentSeconds }},
 		{"hosts_live", "hosts that count as live", false, func() float64 { return n.liveHosts() }},
 		{"answer_tokens", "tokens relayed to callers", true, func() float64 { return float64(n.Recorder.Totals().Tokens) }},
 	}
@@ -216,7 +216,7 @@
 	_, err = meter.Float64ObservableCounter("requests_barred", metric.WithDescription("requests, or calls of them, that endpoints were barred from, by what barred most"),
 		metric.WithFloat64Callback(func(_ context.Context, o metric.Float64Observer) error {
 			for _, b := range route.Reasons() {
-				o.Observe(float64(n.entry.Barred(b)), metric.WithAttributes(attribute.String("reason", b.Label())))
+				o.Observe(float64(n.entry.IneligibleCount(b)), metric.WithAttributes(attribute.String("reason", b.Label())))
 			}
 			return nil
 		}))
--- a/node/node.go
+++ b/node/node.go
@@ -176,7 +176,7 @@
 			return err
 		}
 	}
-	n.goRun(func() error { n.Router.Seed(ctx, n.settings.Seeds); return nil })
+	n.goRun(func() error { n.Router.ContactSeeds(ctx, n.settings.Seeds); return nil })
 	if n.feed != nil {
 		n.goRun(func() error { n.feed.Follow(ctx, feedSink{n, ctx}); return nil })
 	} else {
--- a/node/sink.go
+++ b/node/sink.go
@@ -26,7 +26,7 @@
 const eagerHosts = 2
 
 func (s feedSink) Eager() bool {
-	if s.n.Board.Meeting(time.Now()) {
+	if s.n.Board.Discovering(time.Now()) {
 		return false
 	}
 	return s.n.Board.Hosts.CountAhead(eagerKey, s.n.settings.Domain, time.Now()) < eagerHosts
--- a/owner/adopt.go
+++ b/owner/adopt.go
@@ -18,7 +18,7 @@
 func (o *Owner) adopt(v *config.View, now time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if now.Before(o.nextAdopt) || o.board.Leaving() || o.board.Meeting(now) {
+	if now.Before(o.nextAdopt) || o.board.Leaving() || o.board.Discovering(now) {
 		return
 	}
 	o.nextAdopt = now.Add(adoptInterval)
--- a/owner/poll.go
+++ b/owner/poll.go
@@ -231,7 +231,7 @@
 	if !st.Notice.Limit.Named || o.peers == nil {
 		return
 	}
-	o.peers.ReceiveLimit(spec, pace.Report{Named: true, PerSecond: st.Notice.Limit.PerSecond, At: clock.Now(), Born: spec.Born})
+	o.peers.ReceiveLimit(spec, pace.Report{Named: true, PerSecond: st.Notice.Limit.PerSecond, At: clock.Now(), Started: spec.Born})
 }
 
 func (o *Owner) pollList(ctx context.Context, sched *Scheduler) {
--- a/owner/reap.go
+++ b/owner/reap.go
@@ -107,7 +107,7 @@
 	switch {
 	case host == o.board.Number:
 		for i, a := range attempts {
-			held[i] = o.board.Requests.Holds(a)
+			held[i] = o.board.Requests.IsOpen(a)
 		}
 	case o.peers == nil:
 		return
--- a/owner/starts.go
+++ b/owner/starts.go
@@ -56,7 +56,7 @@
 type Permits struct {
 	// Counters for metrics: permits granted and requests refused as the owner, and permits that
 	// this host gave itself while an owner was unreachable.
-	Given, Refused, Isolated atomic.Uint64
+	Granted, Refused, Isolated atomic.Uint64
 
 	board *blackboard.Board
 	peers func() Peers
@@ -190,7 +190,7 @@
 		p.refused++
 		return PermitReply{InMillis: millis(min(in, maxRetryDelay)), BackMillis: millis(p.RetryAfter(now, t))}
 	}
-	s.Given.Add(1)
+	s.Granted.Add(1)
 	p.given++
 	p.NoteGrant(now, a.Asker)
 	return PermitReply{Given: true, InMillis: millis(in)}
--- a/owner/tenure.go
+++ b/owner/tenure.go
@@ -23,7 +23,7 @@
 			delete(o.balance.tenures, number)
 		}
 	}
-	return v.Roster > 0 && o.board.Hosts.Majority(now, len(o.board.Settings.Seeds)) && !o.board.Leaving() && !o.board.Pause.Check() &&
+	return v.RosterRevision > 0 && o.board.Hosts.Majority(now, len(o.board.Settings.Seeds)) && !o.board.Leaving() && !o.board.Pause.Check() &&
 		o.board.Config.PlatformAnsweredWithin(now, maxPlatformSilence)
 }
 
--- a/pace/word.go
+++ b/pace/word.go
@@ -14,8 +14,8 @@
 	// head of the answer arrives. The time of an answer without a limit is when its call was sent:
 	// a call that was in flight when the endpoint began to name a limit says nothing about that
 	// limit.
-	At   time.Time
-	Born int64 // start of the endpoint's process; 0: unknown
+	At      time.Time
+	Started int64 // start of the endpoint's process; 0: unknown
 }
 
 // WireReport is a Report as hosts send it to each other. Their clocks differ, so it carries an age.
@@ -29,7 +29,7 @@
 
 // Wire returns the report in the form sent to another host.
 func (w Report) Wire(now time.Time) WireReport {
-	return WireReport{!w.At.IsZero(), w.Named, w.PerSecond, now.Sub(w.At).Milliseconds(), w.Born}
+	return WireReport{!w.At.IsZero(), w.Named, w.PerSecond, now.Sub(w.At).Milliseconds(), w.Started}
 }
 
 // Report returns the report with its time on this host's clock.
@@ -83,10 +83,10 @@
 // endpoint says nothing about a later one; of the reports of one process the newest holds,
 // whichever host observed it.
 func (b *LimitState) Observe(now time.Time, w Report) Change {
-	if w.Born != 0 && w.Born < b.report.Born {
+	if w.Started != 0 && w.Started < b.report.Started {
 		return ChangeNone // where no start time is reported, it may be the same process
 	}
-	b.DropIfRestarted(w.Born)
+	b.DropIfRestarted(w.Started)
 	if !w.At.After(b.report.At) {
 		return ChangeNone
 	}
@@ -108,7 +108,7 @@
 // DropIfRestarted drops all that is known if the endpoint's current process started later than the
 // process of the newest report.
 func (b *LimitState) DropIfRestarted(started int64) {
-	if started > b.report.Born && b.report.Born != 0 {
+	if started > b.report.Started && b.report.Started != 0 {
 		*b = LimitState{}
 	}
 }
--- a/pace/word_test.go
+++ b/pace/word_test.go
@@ -15,11 +15,11 @@
 		var reports []Report
 		for range rapid.IntRange(1, 8).Draw(t, "words") {
 			reports = append(reports, Report{Named: rapid.Bool().Draw(t, "named"), PerSecond: float64(rapid.IntRange(0, 3).Draw(t, "limit")),
-				At: epoch.Add(time.Duration(rapid.IntRange(1, 5000).Draw(t, "at")) * time.Millisecond), Born: int64(rapid.IntRange(1, 2).Draw(t, "born"))})
+				At: epoch.Add(time.Duration(rapid.IntRange(1, 5000).Draw(t, "at")) * time.Millisecond), Started: int64(rapid.IntRange(1, 2).Draw(t, "born"))})
 		}
 		newest := reports[0]
 		for _, w := range reports[1:] {
-			if w.Born > newest.Born || w.Born == newest.Born && w.At.After(newest.At) {
+			if w.Started > newest.Started || w.Started == newest.Started && w.At.After(newest.At) {
 				newest = w
 			}
 		}
@@ -36,7 +36,7 @@
 		}
 		for i := range hosts {
 			// Of two reports with the same time the first one to arrive holds.
-			if w := hosts[i].Report(); w.Born != newest.Born || !w.At.Equal(newest.At) {
+			if w := hosts[i].Report(); w.Started != newest.Started || !w.At.Equal(newest.At) {
 				t.Fatalf("host %d has %+v, want %+v", i, w, newest)
 			}
 		}
@@ -56,22 +56,22 @@
 		limit   float64
 		bounded bool
 	}{
-		{"nothing named", 0, Report{At: at(-50), Born: 1}, ChangeNone, 0, false},
-		{"named", 100, Report{Named: true, PerSecond: 5, At: at(100), Born: 1}, ChangeBegan, 5, true},
-		{"an answer in flight", 120, Report{At: at(90), Born: 1}, ChangeNone, 5, true},
-		{"an older limit", 130, Report{Named: true, PerSecond: 9, At: at(95), Born: 1}, ChangeNone, 5, true},
-		{"the same", 200, Report{Named: true, PerSecond: 5, At: at(200), Born: 1}, ChangeNone, 5, true},
-		{"another one", 300, Report{Named: true, PerSecond: 2, At: at(300), Born: 1}, ChangeValue, 2, true},
-		{"none, sent before", 340, Report{At: at(290), Born: 1}, ChangeNone, 2, true},
-		{"none, sent since", 400, Report{At: at(310), Born: 1}, ChangeEnded, minRampRate, true},
-		{"a limit named earlier", 410, Report{Named: true, PerSecond: 3, At: at(305), Born: 1}, ChangeNone, math.NaN(), true},
-		{"none again", 1300, Report{At: at(1250), Born: 1}, ChangeNone, 0, false},
-		{"named again", 1400, Report{Named: true, PerSecond: 1, At: at(1400), Born: 1}, ChangeBegan, 1, true},
+		{"nothing named", 0, Report{At: at(-50), Started: 1}, ChangeNone, 0, false},
+		{"named", 100, Report{Named: true, PerSecond: 5, At: at(100), Started: 1}, ChangeBegan, 5, true},
+		{"an answer in flight", 120, Report{At: at(90), Started: 1}, ChangeNone, 5, true},
+		{"an older limit", 130, Report{Named: true, PerSecond: 9, At: at(95), Started: 1}, ChangeNone, 5, true},
+		{"the same", 200, Report{Named: true, PerSecond: 5, At: at(200), Started: 1}, ChangeNone, 5, true},
+		{"another one", 300, Report{Named: true, PerSecond: 2, At: at(300), Started: 1}, ChangeValue, 2, true},
+		{"none, sent before", 340, Report{At: at(290), Started: 1}, ChangeNone, 2, true},
+		{"none, sent since", 400, Report{At: at(310), Started: 1}, ChangeEnded, minRampRate, true},
+		{"a limit named earlier", 410, Report{Named: true, PerSecond: 3, At: at(305), Started: 1}, ChangeNone, math.NaN(), true},
+		{"none again", 1300, Report{At: at(1250), Started: 1}, ChangeNone, 0, false},
+		{"named again", 1400, Report{Named: true, PerSecond: 1, At: at(1400), Started: 1}, ChangeBegan, 1, true},
 		{"a process without a start time", 1500, Report{At: at(1450)}, ChangeEnded, minRampRate, true},
 		{"named by the same", 1550, Report{Named: true, PerSecond: 1, At: at(1550)}, ChangeBegan, 1, true},
-		{"a process with a start time", 1560, Report{Named: true, PerSecond: 1, At: at(1560), Born: 1}, ChangeNone, 1, true},
-		{"a later process", 1600, Report{At: at(1550), Born: 2}, ChangeNone, 0, false},
-		{"the process before", 1700, Report{Named: true, PerSecond: 1, At: at(1700), Born: 1}, ChangeNone, 0, false},
+		{"a process with a start time", 1560, Report{Named: true, PerSecond: 1, At: at(1560), Started: 1}, ChangeNone, 1, true},
+		{"a later process", 1600, Report{At: at(1550), Started: 2}, ChangeNone, 0, false},
+		{"the process before", 1700, Report{Named: true, PerSecond: 1, At: at(1700), Started: 1}, ChangeNone, 0, false},
 	} {
 		if got := b.Observe(at(tc.now), tc.report); got != tc.want {
 			t.Errorf("%s: %s, want %s", tc.name, got, tc.want)
--- a/peer/news.go
+++ b/peer/news.go
@@ -121,7 +121,7 @@
 	}
 	for _, e := range ended {
 		r.log.Info("failure domain is no longer emptied", zap.String("domain", e.Domain), zap.Stringer("revision", e.Revision),
-			zap.Stringer("roster", v.Roster), zap.Duration("after", time.Since(e.Since)), zap.String("from", from))
+			zap.Stringer("roster", v.RosterRevision), zap.Duration("after", time.Since(e.Since)), zap.String("from", from))
 	}
 	if len(began) > 0 && r.OnEvacuated != nil {
 		r.OnEvacuated(v)
--- a/peer/news_test.go
+++ b/peer/news_test.go
@@ -39,7 +39,7 @@
 		b.Endpoints.Read(func(fleet *route.Fleet) {
 			v := fleet.View
 			if v != want || fleet.Find(route.Number("e0")).Evacuated != want.IsEvacuated(want.Endpoint("e0")) {
-				t.Fatalf("round %d: the routing table is at roster %d, want %d", round, v.Roster, want.Roster)
+				t.Fatalf("round %d: the routing table is at roster %d, want %d", round, v.RosterRevision, want.RosterRevision)
 			}
 		})
 		if rows := b.Evacuations.List(); len(rows) != len(want.Evacuated) || len(rows) > 0 && rows[0].Evacuation != want.Evacuated["d"] {
--- a/peer/seed.go
+++ b/peer/seed.go
@@ -92,9 +92,9 @@
 	return n
 }
 
-// Seed exchanges with all of the given addresses concurrently, since any of them may not respond.
+// ContactSeeds exchanges with all of the given addresses concurrently, since any of them may not respond.
 // It is used by a host that starts.
-func (r *Router) Seed(ctx context.Context, addrs []string) {
+func (r *Router) ContactSeeds(ctx context.Context, addrs []string) {
 	var wg sync.WaitGroup
 	for _, a := range addrs {
 		if a != r.board.Settings.PeersAddress() {
--- a/peer/server.go
+++ b/peer/server.go
@@ -74,7 +74,7 @@
 
 func (s *server) Claims(a *ClaimsArgs, reply *ClaimsReply) error {
 	for _, at := range a.Attempts {
-		reply.Held = append(reply.Held, s.r.board.Requests.Holds(at))
+		reply.Held = append(reply.Held, s.r.board.Requests.IsOpen(at))
 	}
 	return nil
 }
--- a/proof/limit_test.go
+++ b/proof/limit_test.go
@@ -70,10 +70,10 @@
 		return
 	}
 	if limit >= 0 {
-		r.ReceiveLimit(spec, pace.Report{Named: true, PerSecond: limit, At: clock.Now(), Born: spec.Born})
+		r.ReceiveLimit(spec, pace.Report{Named: true, PerSecond: limit, At: clock.Now(), Started: spec.Born})
 		return
 	}
-	r.ReceiveLimit(spec, pace.Report{At: sent, Born: spec.Born})
+	r.ReceiveLimit(spec, pace.Report{At: sent, Started: spec.Born})
 }
 
 // finishLimited stops the calls, checks that no limitWindow got more than factor times the limit
--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -85,7 +85,7 @@
 	r := f.hosts[host]
 	f.holder++
 	switch v, _ := r.Evaluate(what, f.now); v {
-	case Resting:
+	case BackingOff:
 		return
 	case Blamed:
 		f.blamed[what] = true
--- a/quarantine/registry.go
+++ b/quarantine/registry.go
@@ -41,8 +41,8 @@
 	return len(r.records) == 0
 }
 
-// NoteRefused counts a refusal of a blamed request.
-func (r *Registry) NoteRefused() {
+// CountRefused counts a refusal of a blamed request.
+func (r *Registry) CountRefused() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.counts.Refused++
--- a/quarantine/registry_test.go
+++ b/quarantine/registry_test.go
@@ -97,7 +97,7 @@
 		{"one crash", []step{early}, time.Second, Suspect, confirmAfter},
 		{"two crashes", []step{early, early}, time.Second, Suspect, confirmAfter},
 		{"three crashes", []step{early, early, early}, time.Second, Blamed, confirmAfter},
-		{"three crashes just now", []step{early, early, early}, time.Second, Resting, 0},
+		{"three crashes just now", []step{early, early, early}, time.Second, BackingOff, 0},
 		{"a crash that no young run explains", []step{late}, time.Second, Suspect, confirmAfter},
 		{"three of them", []step{late, late, late}, time.Second, Blamed, confirmAfter},
 		{"crashes in both stages", []step{inPrefill, early, early}, time.Second, Blamed, confirmAfter},
@@ -286,7 +286,7 @@
 		}
 		r.RecordCrash(runs, processes, "e", now)
 	}
-	if v, backoff := r.Evaluate(f, now); v != Resting || backoff > firstBackoff {
+	if v, backoff := r.Evaluate(f, now); v != BackingOff || backoff > firstBackoff {
 		t.Errorf("verdict %d, backoff %v", v, backoff)
 	}
 	if v := verdict(r, f, now.Add(firstBackoff)); v != Suspect {
@@ -297,7 +297,7 @@
 		now = now.Add(time.Second)
 		crash(r, always, Running, now)
 	}
-	if v := verdict(r, always, now.Add(otherWindow)); v != Resting && v != Suspect {
+	if v := verdict(r, always, now.Add(otherWindow)); v != BackingOff && v != Suspect {
 		t.Errorf("while there are other crashes: verdict %d", v)
 	}
 	now = now.Add(2 * otherWindow)
--- a/quarantine/verdict.go
+++ b/quarantine/verdict.go
@@ -11,10 +11,10 @@
 
 // Kinds of verdicts.
 const (
-	Free    Verdict = iota // nothing speaks against it
-	Suspect                // it runs only as a probe
-	Resting                // it backs off, and is Suspect again after that
-	Blamed                 // the crashes are attributed to it; it is refused
+	Free       Verdict = iota // nothing speaks against it
+	Suspect                   // it runs only as a probe
+	BackingOff                // it backs off, and is Suspect again after that
+	Blamed                    // the crashes are attributed to it; it is refused
 )
 
 // String returns the verdict as operators see it.
@@ -79,7 +79,7 @@
 	}
 	switch backoff = until.Sub(now); {
 	case backoff > 0:
-		return Resting, backoff
+		return BackingOff, backoff
 	case otherCount >= otherCauses:
 		return Suspect, 0
 	}
--- a/route/fleet.go
+++ b/route/fleet.go
@@ -138,7 +138,7 @@
 	}
 	for number, s := range before {
 		if f.states[number] == nil {
-			f.removed.add(number, s.Spec, f.View.Roster.Era(), now)
+			f.removed.add(number, s.Spec, f.View.RosterRevision.Era(), now)
 		}
 	}
 	f.rebuildRoutes()
@@ -171,7 +171,7 @@
 		delete(f.states, number)
 		delete(f.wrongState, number)
 		if e == nil {
-			f.removed.add(number, old.Spec, f.View.Roster.Era(), now)
+			f.removed.add(number, old.Spec, f.View.RosterRevision.Era(), now)
 		}
 	}
 	if e != nil {
@@ -215,7 +215,7 @@
 	if old != nil {
 		s.inherit(old, now)
 	} else {
-		s.UnconfirmedUntil = f.removed.returned(number, e, v.Roster.Era(), now)
+		s.UnconfirmedUntil = f.removed.returned(number, e, v.RosterRevision.Era(), now)
 	}
 	return s
 }
--- a/route/gone_test.go
+++ b/route/gone_test.go
@@ -31,7 +31,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				v.Roster = at
+				v.RosterRevision = at
 				return &v
 			}
 			f.SetView(view(1, tc.removed, "e", "other"), noticeTime)
--- a/tool/remote.go
+++ b/tool/remote.go
@@ -114,8 +114,8 @@
 		for _, a := range sortedKeys(statuses) {
 			s := statuses[a]
 			platformSilence := "never heard"
-			if s.Config.PlatformSilent >= 0 {
-				platformSilence = fmt.Sprintf("%.0fs", s.Config.PlatformSilent)
+			if s.Config.PlatformSilentSeconds >= 0 {
+				platformSilence = fmt.Sprintf("%.0fs", s.Config.PlatformSilentSeconds)
 			}
 			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%s\t%d\t%d\t%d\t%d\t%d\t%d\n", s.Host, s.Domain, s.Config.Revision, s.Config.Rejected, platformSilence,
 				s.RequestsInProgress, s.Totals.Good, s.Totals.Late, s.Totals.Bad, s.Pauses, len(s.BrokenInvariants))
--- a/tool/tool_test.go
+++ b/tool/tool_test.go
@@ -101,7 +101,7 @@
 		}
 		rec.Record(o, now.Add(-time.Duration(i)*time.Minute))
 	}
-	status := node.Status{Host: "is-a-1", Domain: "is-a", Config: blackboard.ConfigStatus{Revision: 7, Rejected: 8, PlatformSilent: 42}, Totals: rec.Totals(), RequestsInProgress: 3,
+	status := node.Status{Host: "is-a-1", Domain: "is-a", Config: blackboard.ConfigStatus{Revision: 7, Rejected: 8, PlatformSilentSeconds: 42}, Totals: rec.Totals(), RequestsInProgress: 3,
 		Hosts:       []node.HostStatus{{Host: "is-a-1", Domain: "is-a", Live: true}, {Host: "is-b-1", Domain: "is-b", Live: false, SilentSeconds: 12}, {Host: "is-c-1", Domain: "is-c", Live: true, Leaving: true}},
 		Quotas:      []node.QuotaStatus{{Team: "press", Rate: 29_000, Free: -150, AdmittedPerSecond: 9_000, RequestedPerSecond: 31_000, UsedShare: 0.97, UnreachableDomains: []string{"is-b"}}},
 		Evacuations: []node.EvacuationStatus{{Domain: "is-b", KnownSeconds: 12.5, Revision: 41, From: "peer is-c-1", Running: 3}, {Domain: "is-c", KnownSeconds: 2, Revision: 44, From: "store"}},
