--- a/blackboard/choice.go
+++ b/blackboard/choice.go
@@ -211,7 +211,7 @@
 	return highestWeight(confirmed, key)
 }
 
-// FirstStable is like HostTable.FirstSteady.
+// FirstStable is like HostTable.FirstStable.
 func (c *Candidates) FirstStable(key uint64) (number uint32, ok bool) {
 	return highestWeight(c.hosts, key)
 }
--- a/blackboard/choice_test.go
+++ b/blackboard/choice_test.go
@@ -40,7 +40,7 @@
 				}
 				want, ok = hosts.FirstStable(key, domain, now)
 				if got, found := c.FirstStable(key); got != want.Number || found != ok {
-					t.Fatalf("FirstSteady of %s: %d %v, want %d %v", domain, got, found, want.Number, ok)
+					t.Fatalf("FirstStable of %s: %d %v, want %d %v", domain, got, found, want.Number, ok)
 				}
 			}
 		}
--- a/blackboard/doc.go
+++ b/blackboard/doc.go
@@ -8,7 +8,7 @@
 // Lock order. Each table has one lock, and no method holds it while calling out of
 // its table; the tables never call each other. Code that needs several locks takes
 // them in this order: the lock under which peer.Router applies new views to tables,
-// owner.Owner, owner.Scheduler, owner.Starts, ConfigTable, HostTable, DomainTable,
+// owner.Owner, owner.Scheduler, owner.Permits, ConfigTable, HostTable, DomainTable,
 // EndpointTable, EvacuationTable, RegionTable, RequestTable, KeyTable,
 // quota.Accounts, quarantine.Registry. Only peer.Router and package owner hold a
 // lock of their own while they use a table.
--- a/blackboard/hosts.go
+++ b/blackboard/hosts.go
@@ -19,7 +19,7 @@
 	Incarnation uint64
 	Heartbeat   uint64 // number of heartbeats of this incarnation
 	Leaving     bool
-	HeartbeatAt time.Time // when Beat last rose, by this host's clock
+	HeartbeatAt time.Time // when Heartbeat last rose, by this host's clock
 	SuspectedAt time.Time // when a watcher reported it as gone; zero: none has
 	Unconfirmed bool      // a call to it failed and no heartbeat arrived since
 	ChangedAt   time.Time // when its incarnation, or that it is leaving, first became known
--- a/blackboard/restored.go
+++ b/blackboard/restored.go
@@ -13,7 +13,7 @@
 // again, and contains what was deleted after the backup. This host keeps some of the lost state:
 //
 //   - an endpoint that was leaving is still leaving (mergeEndpoint);
-//   - an endpoint that the backup lacks stays in use for config.LapsedKept, as after an outage;
+//   - an endpoint that the backup lacks stays in use for config.ExpiryGrace, as after an outage;
 //   - an endpoint that was gone and is in the backup isn't used for some time (route.Fleet);
 //   - a failure domain that was evacuated stays so for evacuationsKept.
 
--- a/config/document.go
+++ b/config/document.go
@@ -244,7 +244,7 @@
 // PolicyMode is a placement algorithm.
 type PolicyMode string
 
-// The placement algorithms. ModeLagged, ModeShare and ModeDispatcher are the
+// The placement algorithms. ModeLeastLoad, ModeFixedShare and ModeDispatcher are the
 // baselines A, B and C of docs/DESIGN.md.
 const (
 	ModeOwner      PolicyMode = "owner"
--- a/entry/job.go
+++ b/entry/job.go
@@ -32,7 +32,7 @@
 	tokens            int // of the prompt
 	expected          int // answer tokens estimated by the caller; 0: none
 	criteria          route.Request
-	reportedEvacuated uint64 // failure domains, as bits of criteria.Shut, that one owner in this try reported as evacuated
+	reportedEvacuated uint64 // failure domains, as bits of criteria.EvacuatedDomains, that one owner in this try reported as evacuated
 	redirect          redirect
 	// refusedRegions are the regions that it was redirected to in this try and that refused
 	// it. Without them it asked one of two regions three times: early, during a wait and at
--- a/entry/relay.go
+++ b/entry/relay.go
@@ -99,7 +99,7 @@
 
 // firstStallLimit returns how long an engine may take to write its first chunk. Timing out
 // gains nothing for a request that can't be sent again, not even with a replica: before the
-// first chunk there is nothing to resume from (copies.FirstPart).
+// first chunk there is nothing to resume from (copies.firstPartDelay).
 func (e *Entry) firstStallLimit(j *job, p *plan) time.Duration {
 	if !e.traits.PrefillRuns && !j.repeatable {
 		return forever
--- a/entry/run.go
+++ b/entry/run.go
@@ -57,7 +57,7 @@
 	endpointName string       // the endpoint that failed
 	sameEndpoint bool         // it may be retried at the same endpoint
 	notSent      bool         // no permit, or a backoff: no call was made
-	bar          route.Reason // what barred the endpoint before the call; BarNone: nothing
+	bar          route.Reason // what barred the endpoint before the call; ReasonNone: nothing
 	mayHaveRun   bool
 	refusal      *result.Error // sent to the caller if there is no further try
 }
--- a/entry/start.go
+++ b/entry/start.go
@@ -74,7 +74,7 @@
 	return s
 }
 
-// permitReason returns why a call to an endpoint needs a permit; BarNone: it needs none.
+// permitReason returns why a call to an endpoint needs a permit; ReasonNone: it needs none.
 func (e *Entry) permitReason(spec *config.Endpoint) (b route.Reason) {
 	e.board.Endpoints.Find(route.Number(spec.Name), func(_ *config.View, s *route.State) {
 		_, limited := s.Limit.Limit(clock.Now())
--- a/internal/fake/faults.go
+++ b/internal/fake/faults.go
@@ -3,7 +3,7 @@
 import "sync"
 
 // Faults configures fault injection in a stand-in. Each field of type int,
-// except BreakAfter, LateMillis and LagMillis, is the number of the next calls
+// except BreakAfter, DelayMillis and LagMillis, is the number of the next calls
 // that get the fault, and counts down to zero.
 type Faults struct {
 	RefuseShare       float64 `json:"refuse_share"`     // share of calls refused, reported as not run
--- a/meter/meter.go
+++ b/meter/meter.go
@@ -34,7 +34,7 @@
 	return t.In.Load() + t.Out.Load() + packets*PacketOverhead
 }
 
-// Conn is a connection whose traffic is counted in T.
+// Conn is a connection whose traffic is counted in Traffic.
 type Conn struct {
 	net.Conn
 	Traffic *Traffic
--- a/node/node.go
+++ b/node/node.go
@@ -101,7 +101,7 @@
 	return func(n *Node) { n.Board.Invariant.Fatal = f }
 }
 
-// WithReplicaPolicy replaces copies.Standing, the policy that decides which running requests get
+// WithReplicaPolicy replaces copies.DefaultPolicy, the policy that decides which running requests get
 // a replica of their KV cache.
 func WithReplicaPolicy(p copies.Policy) Option { return func(n *Node) { n.replicaPolicy = p } }
 
--- a/node/status.go
+++ b/node/status.go
@@ -58,7 +58,7 @@
 	ColdSeconds      float64     `json:"cold_s"`         // how long it may still be cold; 0: it is warm
 	PermitsGranted   uint64      `json:"starts"`         // permits that this host granted while the endpoint was cold or announced a limit
 	PermitsRefused   uint64      `json:"starts_refused"` // permits
-	// Limit is the number of requests a second that the endpoint announced as its limit; nil:
+	// LimitPerSecond is the number of requests a second that the endpoint announced as its limit; nil:
 	// it announced none.
 	LimitPerSecond  *float64 `json:"limit_per_s,omitempty"`
 	LimitAgeSeconds float64  `json:"limit_since_s,omitempty"` // how long ago it was announced
--- a/owner/empty.go
+++ b/owner/empty.go
@@ -17,8 +17,8 @@
 const evacuatedRetry = 2 * time.Second
 
 // refuseEvacuated returns a refusal if the endpoint's failure domain is evacuated, nil otherwise.
-// It reads the view in use, which is stored before Empty is called. The caller holds the
-// scheduler's lock, so that no request is admitted after Empty has cleared the queue.
+// It reads the view in use, which is stored before RefuseEvacuated is called. The caller holds the
+// scheduler's lock, so that no request is admitted after RefuseEvacuated has cleared the queue.
 func (o *Owner) refuseEvacuated(sched *Scheduler) *result.Error {
 	v := o.board.Config.View()
 	if v == nil {
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -38,9 +38,9 @@
 	Inherit(ctx context.Context, host blackboard.Host, endpoint uint32) (Handover, error)
 	// Vote asks a host for its votes for the endpoints that need start permits.
 	Vote(ctx context.Context, host blackboard.Host, a VoteArgs) (VoteReply, error)
-	// Heard records the limit that an endpoint named in a response to this host.
+	// ReceiveLimit records the limit that an endpoint named in a response to this host.
 	ReceiveLimit(spec *config.Endpoint, w pace.Report)
-	// LimitTold records an endpoint's limit as reported by another host.
+	// ReceivePeerLimit records an endpoint's limit as reported by another host.
 	ReceivePeerLimit(spec *config.Endpoint, t pace.WireReport)
 }
 
@@ -66,7 +66,7 @@
 	Orders    atomic.Uint64 // orders sent
 	Takeovers atomic.Uint64 // endpoints taken over
 	Polls     atomic.Uint64 // control calls to endpoints
-	// TurnedAway counts requests refused because their endpoint's failure domain is evacuated.
+	// EvacuationRefusals counts requests refused because their endpoint's failure domain is evacuated.
 	EvacuationRefusals atomic.Uint64
 }
 
--- a/owner/starts.go
+++ b/owner/starts.go
@@ -151,7 +151,7 @@
 	return pace.LimitParams(b.perSecond, share)
 }
 
-// Acquire handles a StartArgs from this or another host.
+// Acquire handles a PermitArgs from this or another host.
 func (s *Permits) Acquire(a PermitArgs) (PermitReply, error) {
 	s.board.Pause.Check()
 	v, spec, err := s.spec(a.Endpoint)
--- a/peer/router.go
+++ b/peer/router.go
@@ -25,10 +25,10 @@
 	Traffic        meter.Traffic        // with other hosts
 	PurposeTraffic meter.PurposeTraffic // traffic by purpose
 	Fetches        meter.Fetches        // fetches of what this host lacked
-	// Accepted is called with each revision that takes effect. It may be nil, and is set before
+	// OnAccepted is called with each revision that takes effect. It may be nil, and is set before
 	// the router is used.
 	OnAccepted func(v *config.View)
-	// Emptied is called when more failure domains are evacuated than before. It may be nil, and
+	// OnEvacuated is called when more failure domains are evacuated than before. It may be nil, and
 	// is set before the router is used.
 	OnEvacuated func(v *config.View)
 
--- a/proof/scene_test.go
+++ b/proof/scene_test.go
@@ -62,7 +62,7 @@
 }
 
 // isRefusedConnection reports whether a violation says only that a host refused the
-// connection, so that its caller got no answer at all. The text is that of load.Judge.
+// connection, so that its caller got no answer at all. The text is that of load.Verify.
 func isRefusedConnection(b string) bool {
 	return strings.Contains(b, "no numbered answer after 0s and 0 tokens")
 }
--- a/publish/follow.go
+++ b/publish/follow.go
@@ -23,13 +23,13 @@
 	// Eager reports whether this host is one of those that detect early when the store's watches
 	// have gone silent. The others learn of changes from them.
 	Eager() bool
-	// Relies reports whether other hosts keep this one up to date, that is, have recently
+	// ReliesOnPeers reports whether other hosts keep this one up to date, that is, have recently
 	// reported what the store holds.
 	ReliesOnPeers() bool
-	// Heard records that the platform held what is known here at the time at. The call was made
+	// Confirmed records that the platform held what is known here at the time at. The call was made
 	// at the time asked: if the process was paused since then, the answer may be old.
 	Confirmed(asked, at time.Time)
-	// HeardFor returns the age of what is known here, and whether anything is.
+	// ConfirmedAge returns the age of what is known here, and whether anything is.
 	ConfirmedAge() (age time.Duration, ever bool)
 }
 
--- a/publish/lapse.go
+++ b/publish/lapse.go
@@ -12,9 +12,9 @@
 
 // A registration that vanishes usually means that its endpoint has left. But if the store was
 // down, registrations may have expired whose endpoints could not renew them. Such endpoints are
-// marked as lapsed and stay in use for config.LapsedKept. An endpoint that is alive and reaches
+// marked as lapsed and stay in use for config.ExpiryGrace. An endpoint that is alive and reaches
 // the store registers again within that time. The others count as gone; if nothing else is
-// published, ConfigTable.DropLapsed removes them.
+// published, ConfigTable.DropExpired removes them.
 
 const (
 	// minOutage is how long a store must be unreachable before registrations may have expired. If
--- a/publish/store.go
+++ b/publish/store.go
@@ -16,7 +16,7 @@
 	// silent, as a Guard does.
 	List(ctx context.Context) (*State, error)
 	// Watch returns what changed after a position of the store, as soon as something did or when
-	// wait is over. It returns ErrForgotten if the store no longer has these changes.
+	// wait is over. It returns ErrCompacted if the store no longer has these changes.
 	Watch(ctx context.Context, after config.Position, wait time.Duration) (*Changes, error)
 	// Close drops idle connections.
 	Close()
--- a/quota/account.go
+++ b/quota/account.go
@@ -16,7 +16,7 @@
 // Reachability describes which failure domains and hosts a holder can reach.
 type Reachability struct {
 	Domains []string // the other failure domains, of all regions
-	// Part is the share of the own domain's hosts that is reachable, this host included: 1 if all
+	// HostShare is the share of the own domain's hosts that is reachable, this host included: 1 if all
 	// are.
 	HostShare float64
 	// Settled says that no other host can recently have held limits of this domain.
--- a/route/state.go
+++ b/route/state.go
@@ -104,7 +104,7 @@
 
 // CallStats sums up the outcomes of this host's own calls to an endpoint. Older calls count less.
 type CallStats struct {
-	FailedShare            float64   // decaying share of failed calls, as of At
+	FailedShare            float64   // decaying share of failed calls, as of LastCall
 	LastCall               time.Time // of the last call
 	UnreachableUntil       time.Time // until when it counts as unreachable
 	ConsecutiveUnreachable int       // consecutive calls that didn't reach it
