--- a/entry/evacuated_test.go
+++ b/entry/evacuated_test.go
@@ -107,7 +107,7 @@
 				s := &leavingScene{evacuate: true, extra: []string{"d3"}, stubOwners: stubOwners{enqueueCodes: tc.enqueueCodes}}
 				s.evacuated = tc.evacuated
 				if refusal, _ := s.run(t, nil); refusal == nil || refusal.Code != tc.code {
-					t.Errorf("%v, want code %v; calls %v", refusal, tc.code, s.callOrder)
+					t.Errorf("%v, want code %v; calls %v", refusal, tc.code, s.calls)
 				}
 			})
 		})
