--- a/cmd/embercoved/failure_test.go
+++ b/cmd/embercoved/failure_test.go
@@ -78,6 +78,7 @@
 			rs := c.send(failureArrivals(uint64(i + 1)))
 			<-injected
 			host := func(a load.Arrival) int { return a.Host % len(c.hosts) }
+			// A host that stops as planned accepts requests for one more second (lame_duck_ms).
 			mayBreak := func(a load.Arrival) bool {
 				return host(a) == tc.killedHost || tc.name == "planned stop of a host" && host(a) == 0 && a.At > faultAt+time.Second
 			}
--- a/cmd/embercoved/main.go
+++ b/cmd/embercoved/main.go
@@ -1,4 +1,5 @@
-// Command embercoved is the daemon of an entry host.
+// Command embercoved is the daemon of an entry host. It takes requests from callers and
+// routes them to endpoints.
 package main
 
 import (
--- a/cmd/embercoved/process_test.go
+++ b/cmd/embercoved/process_test.go
@@ -25,9 +25,9 @@
 // exit with code 0.
 func TestWholePath(t *testing.T) {
 	c := startCluster(t, 3, nil)
-	bundle := load.Mixes["domaskra"].Arrivals(3, 50, 10*time.Second, 0)
+	arrivals := load.Mixes["domaskra"].Arrivals(3, 50, 10*time.Second, 0)
 	long, short := "", ""
-	for _, a := range bundle {
+	for _, a := range arrivals {
 		if a.MaxTokens == 4 && len(a.Prompt) > len(long) {
 			long = a.Prompt
 		}
--- a/cmd/embercoved/reload.go
+++ b/cmd/embercoved/reload.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// notifyHangup returns a channel of SIGHUPs. Once it was called, a SIGHUP no longer ends the
-// process.
+// notifyHangup returns a channel that receives SIGHUPs. Once it has been called, a SIGHUP no
+// longer ends the process.
 func notifyHangup() <-chan os.Signal {
 	hup := make(chan os.Signal, 4)
 	signal.Notify(hup, syscall.SIGHUP)
--- a/cmd/embercoved/soak_test.go
+++ b/cmd/embercoved/soak_test.go
@@ -19,7 +19,8 @@
 
 // The soak runs the real programs as separate processes and injects faults from outside.
 // The faults overlap; a seed determines their sequence. To run it by hand:
-// go test ./cmd/embercoved -run TestSoak -soak.seeds 50 -soak.first 1 -timeout 2h
+//
+//	go test ./cmd/embercoved -run TestSoak -soak.seeds 50 -soak.first 1 -timeout 2h
 var (
 	soakSeeds = flag.Int("soak.seeds", 1, "number of seeds that TestSoak runs")
 	soakFirst = flag.Uint64("soak.first", 1, "first seed")
@@ -63,8 +64,8 @@
 	control(s.t, s.c.platform, "/control/publish", d)
 }
 
-// pickHost picks a host at random and marks it as under a fault. It returns -1 if the host is
-// under a fault already, or if only two hosts aren't.
+// pickHost picks a host at random and marks it as under a fault. It returns -1 if that host
+// is under a fault already, or if no more than two hosts aren't.
 func (s *soak) pickHost() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -229,7 +230,8 @@
 }
 
 // check checks the promises to callers, and that the system has recovered: no attempt holds
-// memory, every host has the published revision, and no invariant was broken.
+// memory, every host has a revision that the soak published (2 or later), and no invariant was
+// broken.
 func (s *soak) check(rs []load.Result) {
 	mayBreak := func(a load.Arrival) bool { return s.interrupted[a.Host%len(s.c.hosts)] }
 	for _, violation := range load.Verify(rs, s.c.records(), mayBreak) {
