--- a/proof/cold_test.go
+++ b/proof/cold_test.go
@@ -39,9 +39,9 @@
 
 	limit float64 // requests per second that the endpoint names; 0: it is cold; -1: no limit any more
 
-	mu        sync.Mutex
-	sentAt    []time.Time // requests that count against the bound
-	learnedAt []time.Time // each host's first answer since it was last restarted; zero: none yet
+	mu            sync.Mutex
+	sentAt        []time.Time // requests that count against the bound
+	firstAnswerAt []time.Time // of each host's first answer since its last restart; zero: none yet
 }
 
 // farZone is the suffix that turns a failure domain's name into that of its far zone.
@@ -53,7 +53,7 @@
 func startSharedFleet(t *testing.T, hosts int, limit float64) *sharedHarness {
 	t.Helper()
 	s := &sharedHarness{
-		limit: limit, learnedAt: make([]time.Time, hosts),
+		limit: limit, firstAnswerAt: make([]time.Time, hosts),
 		harness: &harness{t: t, net: fake.NewNetwork(), stopped: map[int]bool{}},
 		hosts:   hosts, stop: make(chan struct{}),
 	}
@@ -111,7 +111,8 @@
 	}
 }
 
-// callCold has host i call the endpoint if it gets a start permit.
+// callCold has host i request a start permit. If it is granted and hasn't expired by the time to
+// send, callCold records a call to the endpoint; no real one is made.
 func (s *sharedHarness) callCold(i int, r *peer.Router, spec *config.Endpoint) {
 	permit := r.AcquirePermit(context.Background(), spec, peer.PermitRequest{Wait: permitWait})
 	if !permit.Granted {
@@ -197,13 +198,13 @@
 		s.t.Error(err)
 	}
 	s.down[i] = false
-	s.learnedAt[i] = time.Time{}
+	s.firstAnswerAt[i] = time.Time{}
 }
 
 // TestCold has several hundred hosts share one cold endpoint, first connected, then partitioned.
 // The partition runs through the endpoint's own failure domain too, so both sides have an owner
-// that issues start permits. Together the sides must neither overrun the endpoint's rate nor
-// leave most of it unused.
+// that issues start permits. Together the sides must neither exceed coldMaxPerSecond nor
+// leave more than a fifth of coldRate unused.
 func TestCold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := startColdFleet(t, oneRegionHosts)
@@ -287,8 +288,8 @@
 }
 
 // TestColdFaults injects one fault at a time while hosts share a cold endpoint. Owners that change,
-// restart or are isolated must not issue more start permits than the endpoint accepts; once the
-// fault is over, they must issue nearly that many again.
+// restart or are isolated must not let more than coldMaxPerSecond through; once the fault is over,
+// they must issue permits for nearly coldRate again.
 func TestColdFaults(t *testing.T) {
 	const hosts = 60
 	for _, tc := range sharedFaults() {
--- a/proof/config_test.go
+++ b/proof/config_test.go
@@ -139,8 +139,9 @@
 }
 
 // TestOrders publishes a new model version under load. Every runner must reach it, whether
-// or not it checks fences and although its first order is lost, and must be brought back
-// to it when a late order of an old revision resets it.
+// or not it checks fences and although its first order is lost, and must have it after a
+// runner that checks no fences reported an old version for a second, as it does when an
+// order of an old revision comes late.
 func TestOrders(t *testing.T) {
 	runScenario(t, options{seed: 7, rate: 8, span: 8 * time.Second}, func(s *harness) {
 		s.setFaults(fake.Faults{DropOrders: 1})
--- a/proof/faults_test.go
+++ b/proof/faults_test.go
@@ -11,6 +11,7 @@
 // every promise to callers afterwards.
 func TestFaults(t *testing.T) {
 	pause := func(d time.Duration) { time.Sleep(d) }
+	// repeatedly sets f once a second, as faults that apply to a number of calls get used up.
 	repeatedly := func(f fake.Faults) func(*harness) {
 		return func(s *harness) {
 			for range 5 {
--- a/proof/hundreds_test.go
+++ b/proof/hundreds_test.go
@@ -152,7 +152,7 @@
 	for _, c := range []struct {
 		of   string
 		ages []time.Duration
-	}{{"the own failure domain", own}, {"others", others}} {
+	}{{"the host's own failure domain", own}, {"other failure domains", others}} {
 		slices.Sort(c.ages)
 		quantile := func(share float64) time.Duration { return c.ages[int(share*float64(len(c.ages)-1))] }
 		t.Logf("digests of %s: median %s, 90th percentile %s, oldest %s", c.of, quantile(0.5), quantile(0.9), quantile(1))
--- a/proof/limit_test.go
+++ b/proof/limit_test.go
@@ -45,8 +45,8 @@
 	s.callEndpoint(i, r, spec)
 }
 
-// callEndpoint has host i call the endpoint and receive its answer, which names the limit while there
-// is one.
+// callEndpoint simulates a call of host i to the endpoint: it reports an answer to the host's router,
+// which names the limit while there is one. Calls that count against the bound go to sentAt.
 func (s *sharedHarness) callEndpoint(i int, r *peer.Router, spec *config.Endpoint) {
 	s.mu.Lock()
 	now := time.Now()
@@ -54,7 +54,7 @@
 		s.mu.Unlock()
 		return
 	}
-	if learned := s.learnedAt[i]; s.limit >= 0 && (s.hasLimit(i) || !learned.IsZero() && now.Sub(learned) >= limitGrace) {
+	if firstAnswer := s.firstAnswerAt[i]; s.limit >= 0 && (s.hasLimit(i) || !firstAnswer.IsZero() && now.Sub(firstAnswer) >= limitGrace) {
 		s.sentAt = append(s.sentAt, now)
 	}
 	s.mu.Unlock()
@@ -62,8 +62,8 @@
 	time.Sleep(callDuration)
 	s.mu.Lock()
 	down, limit := s.down[i], s.limit
-	if s.learnedAt[i].IsZero() {
-		s.learnedAt[i] = time.Now()
+	if s.firstAnswerAt[i].IsZero() {
+		s.firstAnswerAt[i] = time.Now()
 	}
 	s.mu.Unlock()
 	if down {
@@ -111,8 +111,9 @@
 }
 
 // TestLimit has several hundred hosts share an endpoint that names a limit. All hosts must apply
-// the limit soon after the first answer that names it, the endpoint must get nearly that many
-// requests and no more, and all hosts must drop the limit soon after the first answer without one.
+// the limit soon after the first answer that names it, the endpoint must get at least nine tenths of
+// the limit and at most a tenth more than it, plus one request per limitWindow, and all hosts must
+// drop it soon after the first answer without one.
 func TestLimit(t *testing.T) {
 	const limit = 21.0
 	synctest.Test(t, func(t *testing.T) {
@@ -155,8 +156,9 @@
 }
 
 // TestLimitFaults injects one fault at a time while hosts share an endpoint that names a limit.
-// Owners that change, restart or are isolated must not issue more start permits than the limit
-// allows; once the fault is over, hosts must use nearly all of it again.
+// Owners that change, restart or are isolated must not let through more than 1.5 times the limit
+// plus 5 requests per limitWindow; once the fault is over, hosts must use nearly all of the limit
+// again.
 func TestLimitFaults(t *testing.T) {
 	const hosts = 60
 	for _, limit := range []float64{0.5, 5.7, 60} {
--- a/proof/random_test.go
+++ b/proof/random_test.go
@@ -106,28 +106,28 @@
 	setRapidDefaults()
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64Range(1, 1<<32).Draw(rt, "seed")
-		var events []timedFault
+		var faults []timedFault
 		var gaps []time.Duration
 		for range *steps {
-			events = append(events, drawFault(rt))
+			faults = append(faults, drawFault(rt))
 			gaps = append(gaps, time.Duration(rapid.IntRange(0, 1500).Draw(rt, "gap"))*time.Millisecond)
 		}
 		span := defaultSpan + time.Duration(*steps)*500*time.Millisecond
 		p := runScenario(t, options{seed: seed, span: span}, func(s *harness) {
-			for i, e := range events {
+			for i, e := range faults {
 				time.Sleep(gaps[i])
 				e.do(s)
 				if i > 1 {
-					events[i-2].undo(s) // up to three overlap
+					faults[i-2].undo(s) // up to three overlap
 				}
 			}
 			time.Sleep(2 * time.Second)
-			for _, e := range events {
+			for _, e := range faults {
 				e.undo(s)
 			}
 		})
 		if len(p.violations) > 0 {
-			for _, e := range events {
+			for _, e := range faults {
 				rt.Log(e.name)
 			}
 			rt.Fatalf("%d violations, first: %s", len(p.violations), p.violations[0])
--- a/proof/regions_cut_test.go
+++ b/proof/regions_cut_test.go
@@ -84,7 +84,7 @@
 		// minRuns is three quarters of the rate, though each side of a cut uses only its own share.
 		minRuns = rate * 8 * 0.75
 	)
-	limited := func(d *config.Document) {
+	setQuota := func(d *config.Document) {
 		for i := range d.Teams {
 			if d.Teams[i].Name == "press" {
 				d.Teams[i].Quota = config.Quota{Unit: config.QuotaRequests, Rate: rate, Burst: burst}
@@ -100,7 +100,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				s := startRegions(t)
 				defer s.shutDown()
-				if _, err := s.Publish(limited); err != nil {
+				if _, err := s.Publish(setQuota); err != nil {
 					t.Fatal(err)
 				}
 				time.Sleep(14 * time.Second)
--- a/proof/scene_test.go
+++ b/proof/scene_test.go
@@ -33,7 +33,8 @@
 	down       map[int]bool // hosts that were killed and not restarted yet
 }
 
-// options of a scenario; zero hosts, rate and span take the defaults.
+// options are the parameters of a scenario. hosts, rate and span take the defaults if zero.
+// change is applied to the initial document and edit to the arrivals; both may be nil.
 type options struct {
 	hosts  int
 	rate   float64
@@ -63,8 +64,8 @@
 
 // isRefusedConnection reports whether a violation says only that a host refused the
 // connection, so that its caller got no answer at all. The text is that of load.Verify.
-func isRefusedConnection(b string) bool {
-	return strings.Contains(b, "no numbered answer after 0s and 0 tokens")
+func isRefusedConnection(violation string) bool {
+	return strings.Contains(violation, "no numbered answer after 0s and 0 tokens")
 }
 
 func sortByTime(as []load.Arrival) {
